--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,12 +43,12 @@
 
 from lapispass import interface
 from lapispass.core import resources, tables
-from lapispass.core.clients import Client, Terms
+from lapispass.core.clients import Client, ClientLimits
 from lapispass.core.facts import Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.keeper import Counted, Keeper
 from lapispass.core.plans import Version
 from lapispass.core.takeover import Takeover
-from lapispass.core.versions import KINDS, Shelf
+from lapispass.core.versions import KINDS, ResourceCache
 from lapispass.gate import wire
 from lapispass.net import codec as words
 from lapispass.net.codec import Codec, Listing
@@ -502,14 +502,14 @@
 
 def xds(repeat: int) -> Iterator[Cost]:
     """Memory of what is published, and of clients' books, without sockets and streams."""
-    shelf, terms, chance = shelf_of(2200), Terms(3 * SECOND, clients=10_000), random.Random(1)
+    cache, terms, chance = cache_of(2200), ClientLimits(3 * SECOND, max_clients=10_000), random.Random(1)
 
     def push(count: int) -> int:
-        items = [item for kind in KINDS for item in shelf_of(count).items[kind].values()]
+        items = [item for kind in KINDS for item in cache_of(count).by_kind[kind].values()]
         return sum(len(codec.packed(item.body).SerializeToString()) for item in items)
 
     def books(count: int) -> list[Client]:
-        made = [Client(f"c{n}", "z01", False, True, shelf, terms, 10**9) for n in range(count)]
+        made = [Client(f"c{n}", "z01", False, True, cache, terms, 10**9) for n in range(count)]
         for client in made:
             names = {f"{number}.{kind}" for number in chance.sample(range(2200), 20) for kind in "rw"}
             for kind in KINDS:
@@ -517,22 +517,22 @@
         return made
 
     yield Cost("xds", "memory of what is published", "B", "slices",
-               [(count, held(partial(shelf_of, count))[0]) for count in SLICES])  # fmt: skip
+               [(count, held(partial(cache_of, count))[0]) for count in SLICES])  # fmt: skip
     yield Cost("xds", "bytes of everything to one client", "B", "slices",
                [(count, push(count)) for count in SLICES])  # fmt: skip
     yield Cost("xds", "memory of clients' books, 20 slices each, streams left out", "B", "clients",
                [(count, held(partial(books, count))[0]) for count in (100, 500, 2000)])  # fmt: skip
 
 
-def shelf_of(slices: int) -> Shelf:
-    shelf, stands = Shelf(), tables.Tables(slices)
-    resources.fixed(shelf, slices, 2, 3 * SECOND)
+def cache_of(slices: int) -> ResourceCache:
+    cache, stands = ResourceCache(), tables.Tables(slices)
+    resources.put_static_resources(cache, slices, 2, 3 * SECOND)
     stands.nodes = {f"s-{n}": tables.Address(f"10.0.{n >> 8}.{n & 255}:3000", "z01") for n in range(slices)}
     changes: list[tables.Change] = [tables.SetLine(number, f"s-{number}") for number in range(slices)]
     for change in changes:
         stands.apply(change)
-    resources.follow(shelf, stands, changes, 0)
-    return shelf
+    resources.update_assignments(cache, stands, changes, 0)
+    return cache
 
 
 # controllers that share nodes
@@ -544,7 +544,7 @@
     def looking(slices: int, controllers: int) -> Callable[[], Any]:
         takeover = Takeover(slices, "n-000/1", linger_us=300_000)
         alive = {f"n-{number:03d}": 1.0 for number in range(controllers)}
-        return partial(takeover.look, 0, alive, {}, True, lambda number: False)
+        return partial(takeover.evaluate, 0, alive, {}, True, lambda number: False)
 
     for slices in (200, 2200):
         works = {count: looking(slices, count) for count in (5, 20, 60, 110)}
--- a/benchmarks/xds_streams.py
+++ b/benchmarks/xds_streams.py
@@ -31,8 +31,8 @@
 
 from lapispass import interface
 from lapispass.core import resources, tables
-from lapispass.core.clients import Client, Numbers, Terms
-from lapispass.core.versions import KINDS, Shelf
+from lapispass.core.clients import Client, ClientLimits, ProxyNumbers
+from lapispass.core.versions import KINDS, ResourceCache
 from lapispass.operator import read as operator
 from lapispass.standins.xds_client import Faults, XdsClient
 from lapispass.store.assignments import Assignments
@@ -81,11 +81,11 @@
     store.close()
     host = Host(operator.read(file), told.seed)
     running = asyncio.create_task(host.run())
-    while not host.desk.address:
+    while not host.xds_server.address:
         await asyncio.sleep(0.01)
     before_kb = rss_kb()
     clients = [
-        XdsClient(host.desk.address, f"c{n}", told.seed + n, n % 2 == 0, faults=Faults(wait_s=0.2))
+        XdsClient(host.xds_server.address, f"c{n}", told.seed + n, n % 2 == 0, faults=Faults(wait_s=0.2))
         for n in range(told.clients)
     ]
     lives = [asyncio.create_task(client.run()) for client in clients]
@@ -108,11 +108,11 @@
     while len(emptied) < len(clients):
         await asyncio.sleep(0.005)
         for client in clients:
-            held = host.desk.clients.get(client.name)
+            held = host.xds_server.clients.get(client.name)
             if (
                 client.name not in emptied
                 and held is not None
-                and held[0].watches["eds"].proven_turn >= host.desk.turn
+                and held[0].watches["eds"].acked_turn >= host.xds_server.turn
                 and (not any(client.endpoints.get(name) == ("n0",) for name in mine))
             ):
                 emptied[client.name] = time.perf_counter() - begun
@@ -136,11 +136,16 @@
     full = sum(
         len(codec.packed(item.body).SerializeToString())
         for kind in KINDS
-        for item in host.desk.shelf.items[kind].values()
+        for item in host.xds_server.cache.by_kind[kind].values()
     )
     print(
         f"a full push of everything: {full} bytes a client; of all assignments: "
-        f"{sum(len(codec.packed(i.body).SerializeToString()) for i in host.desk.shelf.items['eds'].values())}"
+        f"""{
+            sum(
+                len(codec.packed(i.body).SerializeToString())
+                for i in host.xds_server.cache.by_kind["eds"].values()
+            )
+        }"""
     )
     begun = time.perf_counter()
     sent = host.counters["xds.resources"]
@@ -179,20 +184,20 @@
 
 def core(told: argparse.Namespace) -> None:
     """Turns, clients and acknowledgements without sockets."""
-    chance, terms, now = random.Random(told.seed), Terms(3_000_000, clients=told.clients), 10**9
-    shelf, numbers = Shelf(), Numbers(2, 3_000_000)
-    resources.fixed(shelf, told.slices, 1, terms.ttl_us)
+    chance, terms, now = random.Random(told.seed), ClientLimits(3_000_000, max_clients=told.clients), 10**9
+    cache, numbers = ResourceCache(), ProxyNumbers(2, 3_000_000)
+    resources.put_static_resources(cache, told.slices, 1, terms.ttl_us)
     stands = tables.Tables(told.slices)
     stands.nodes = {f"n{n}": tables.Address(f"127.0.0.1:{9000 + n}", "east") for n in range(100)}
     changes: list[tables.Change] = []
     for number in range(told.slices):
         stands.apply(tables.SetLine(number, f"n{number % 100}"))
         changes.append(tables.SetLine(number, f"n{number % 100}"))
-    resources.follow(shelf, stands, changes, 0)
+    resources.update_assignments(cache, stands, changes, 0)
     clients = []
     mine = told.names  # each client knows so many slices
     for place in range(told.clients):
-        client = Client(f"c{place}", "east", False, True, shelf, terms, now)
+        client = Client(f"c{place}", "east", False, True, cache, terms, now)
         names = {f"{number}.{kind}" for number in chance.sample(range(told.slices), mine) for kind in "rw"}
         for kind in KINDS:
             client.watch(kind).begin(names if kind in ("cds", "eds") else None, {})
@@ -213,7 +218,7 @@
             stands.apply(change)
         marks.append((turn, turn, now))
         begun = time.perf_counter()
-        resources.follow(shelf, stands, changes, turn)
+        resources.update_assignments(cache, stands, changes, turn)
         count, marked = settle(clients, now + turn, turn, marks, numbers)
         costs.append(time.perf_counter() - begun)
         sent.append(count)
@@ -227,19 +232,19 @@
 
 
 def settle(
-    clients: list[Client], now: int, turn: int, marks: deque[tuple[int, int, int]], numbers: Numbers
+    clients: list[Client], now: int, turn: int, marks: deque[tuple[int, int, int]], numbers: ProxyNumbers
 ) -> tuple[int, int]:
     """Every client acknowledges at once; resources sent, marks answered."""
     sent = answered = 0
     for client in clients:
         while True:
-            step = client.look(now, turn, marks, numbers)
-            answered += len(step.answered)
+            step = client.advance(now, turn, marks, numbers)
+            answered += len(step.acked_barriers)
             if not step.updates:
                 break
             for update in step.updates:
-                sent += len(update.items)
-                client.watches[update.kind].answered(update.nonce, False, now)
+                sent += len(update.resources)
+                client.watches[update.kind].handle_answer(update.nonce, False, now)
     return sent, answered
 
 
--- a/examples/handover_xds.py
+++ b/examples/handover_xds.py
@@ -33,11 +33,11 @@
     file.write_text(text)
     host = Host(operator.read(file), 1)
     running = asyncio.create_task(host.run())
-    while not host.desk.address:
+    while not host.xds_server.address:
         await asyncio.sleep(0.01)
     clients = [
-        XdsClient(host.desk.address, "incremental", 1),
-        XdsClient(host.desk.address, "whole", 2, False),
+        XdsClient(host.xds_server.address, "incremental", 1),
+        XdsClient(host.xds_server.address, "whole", 2, False),
     ]
     lives = [asyncio.create_task(client.run()) for client in clients]
     last: dict[str, str] = {}
--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/fronts.py
@@ -30,9 +30,9 @@
 
                 service.beside.append(Desk(service, source))
             if source.told.HasField("xds"):
-                from lapispass.xds.beside import Beside
+                from lapispass.xds.platform_server import PlatformXdsServer
 
-                service.beside.append(Beside(service, source))
+                service.beside.append(PlatformXdsServer(service, source))
         except BadFile as error:
             raise BadStart(str(error)) from None
 
--- a/lapispass/core/membership.py
+++ b/lapispass/core/membership.py
@@ -14,42 +14,42 @@
 
 from lapispass.core.facts import NEVER
 
-DRIFT = 0.01  # two steady clocks differ by this part at most
+MAX_CLOCK_DRIFT = 0.01  # two steady clocks differ by this part at most
 
 
 @dataclass(slots=True)
 class Session:
     """One lease of the service, as its holder sees it. Times in us of the holder's steady clock."""
 
-    early_us: int  # what is on its way to the network when the lease ends was sent before
-    lease: int = 0  # its id; 0: none
+    margin_us: int  # what is on its way to the network when the lease ends was sent before
+    lease_id: int = 0  # its id; 0: none
     ttl_us: int = 0
-    until: int = 0
-    lost: int = 0  # how often one has run out
+    valid_until: int = 0
+    times_lost: int = 0  # how often one has run out
 
-    def granted(self, sent_us: int, lease: int, ttl_us: int) -> None:
-        self.lease, self.ttl_us, self.until = lease, ttl_us, 0
-        self.kept(sent_us, lease, ttl_us)
+    def granted(self, sent_us: int, lease_id: int, ttl_us: int) -> None:
+        self.lease_id, self.ttl_us, self.valid_until = lease_id, ttl_us, 0
+        self.renewed(sent_us, lease_id, ttl_us)
 
-    def kept(self, sent_us: int, lease: int, ttl_us: int) -> bool:
+    def renewed(self, sent_us: int, lease_id: int, ttl_us: int) -> bool:
         """A renewal has been answered. One of another lease, or without time left, is no renewal."""
-        if lease != self.lease or ttl_us <= 0:
+        if lease_id != self.lease_id or ttl_us <= 0:
             return False
-        self.until = max(self.until, sent_us + int(ttl_us * (1 - DRIFT)))
+        self.valid_until = max(self.valid_until, sent_us + int(ttl_us * (1 - MAX_CLOCK_DRIFT)))
         return True
 
-    def holds(self, now: int) -> bool:
+    def is_valid(self, now: int) -> bool:
         """Whether anything may be published. Asked right before it is."""
-        return bool(self.lease) and now < self.until - self.early_us
+        return bool(self.lease_id) and now < self.valid_until - self.margin_us
 
     def end(self) -> None:
         """It has run out, or the service does not know it any more: a new one is another life."""
-        if self.lease:
-            self.lost += 1
-        self.lease, self.until = 0, 0
+        if self.lease_id:
+            self.times_lost += 1
+        self.lease_id, self.valid_until = 0, 0
 
     def renew_at(self, sent_us: int) -> int:
-        return sent_us + self.ttl_us // 3 if self.lease else sent_us
+        return sent_us + self.ttl_us // 3 if self.lease_id else sent_us
 
 
 @dataclass(slots=True)
@@ -68,25 +68,25 @@
 
     known: dict[str, Member] = field(default_factory=dict)
 
-    def seen(self, alive: Mapping[str, tuple[float, str]], now: int) -> tuple[list[Member], list[Member]]:
+    def update(self, alive: Mapping[str, tuple[float, str]], now: int) -> tuple[list[Member], list[Member]]:
         """What the service lists now (name: weight, boot): who has come, and who has gone.
 
         One that comes back under another boot has gone and come: nothing of its earlier life counts.
         """
-        come, gone = [], []
+        joined, left = [], []
         for name, member in self.known.items():
-            standing = alive.get(name)
-            if member.gone_at == NEVER and (standing is None or standing[1] != member.boot):
+            current = alive.get(name)
+            if member.gone_at == NEVER and (current is None or current[1] != member.boot):
                 member.gone_at = now
-                gone.append(member)
+                left.append(member)
         for name, (weight, boot) in alive.items():
             old = self.known.get(name)
             if old is None or old.gone_at != NEVER:
-                come.append(Member(name, weight, boot))
-                self.known[name] = come[-1]
+                joined.append(Member(name, weight, boot))
+                self.known[name] = joined[-1]
             else:
                 old.weight = weight
-        return come, gone
+        return joined, left
 
     def alive(self) -> dict[str, float]:
         return {name: member.weight for name, member in self.known.items() if member.gone_at == NEVER}
--- a/lapispass/core/resources.py
+++ b/lapispass/core/resources.py
@@ -13,7 +13,7 @@
 
 from lapispass.core import tables
 from lapispass.core.clients import READS, WRITES
-from lapispass.core.versions import Shelf
+from lapispass.core.versions import ResourceCache
 
 
 class Endpoint(NamedTuple):
@@ -55,24 +55,26 @@
     ttl_us: int
 
 
-def cluster(number: int, writes: bool) -> str:
+def cluster_name(number: int, writes: bool) -> str:
     return f"{number}.{'w' if writes else 'r'}"
 
 
-def fixed(shelf: Shelf, slices: int, tries: int, ttl_us: int) -> None:
+def put_static_resources(cache: ResourceCache, slices: int, tries: int, ttl_us: int) -> None:
     """What does not change with turns."""
     for number in range(slices):
         for writes in (False, True):
-            name = cluster(number, writes)
-            shelf.put("cds", name, Cluster(name, 1_000_000), 0)
-            shelf.put("eds", name, Assignment(name, (), 0), 0, writes)
-    shelf.put("rds", READS, Routes(READS, slices, "r", tries), 0)
-    shelf.put("rds", WRITES, Routes(WRITES, slices, "w", 1), 0)
-    shelf.put("lds", READS, Listener(READS, READS, 0), 0)
-    shelf.put("lds", WRITES, Listener(WRITES, WRITES, ttl_us), 0)
-
-
-def follow(shelf: Shelf, stands: tables.Tables, changes: list[tables.Change], turn: int) -> int:
+            name = cluster_name(number, writes)
+            cache.put("cds", name, Cluster(name, 1_000_000), 0)
+            cache.put("eds", name, Assignment(name, (), 0), 0, writes)
+    cache.put("rds", READS, Routes(READS, slices, "r", tries), 0)
+    cache.put("rds", WRITES, Routes(WRITES, slices, "w", 1), 0)
+    cache.put("lds", READS, Listener(READS, READS, 0), 0)
+    cache.put("lds", WRITES, Listener(WRITES, WRITES, ttl_us), 0)
+
+
+def update_assignments(
+    cache: ResourceCache, tables_now: tables.Tables, changes: list[tables.Change], turn: int
+) -> int:
     """Sets the assignments that a turn's changes concern; how many are new."""
     numbers: set[int] = set()
     for change in changes:
@@ -80,23 +82,23 @@
             case tables.SetLine(number, _) | tables.SetShare(number, _, _):
                 numbers.add(number)
             case tables.SetOut(node, _) | tables.SetNode(node, _):
-                numbers |= {number for number, owner in stands.owners.items() if owner == node}
+                numbers |= {number for number, owner in tables_now.owners.items() if owner == node}
             case _:
                 pass
     return sum(
-        shelf.put("eds", cluster(number, writes), assignment(stands, number, writes), turn, writes)
+        cache.put("eds", cluster_name(number, writes), assignment(tables_now, number, writes), turn, writes)
         for number in sorted(numbers)
         for writes in (False, True)
     )
 
 
-def assignment(stands: tables.Tables, number: int, writes: bool) -> Assignment:
+def assignment(tables_now: tables.Tables, number: int, writes: bool) -> Assignment:
     """A slice's owner, or nobody: while it is bare, its owner is shut out, or its writes are shut."""
-    share = stands.shares.get(number, tables.OPEN)
-    owner = stands.owner(number)
-    where = stands.nodes.get(owner) if owner is not None else None
+    share = tables_now.shares.get(number, tables.OPEN)
+    owner = tables_now.owner(number)
+    where = tables_now.nodes.get(owner) if owner is not None else None
     shut = writes and share.shut
     endpoints = (
         () if owner is None or where is None or shut else (Endpoint(owner, where.address, where.zone),)
     )
-    return Assignment(cluster(number, writes), endpoints, round(1_000_000 * (1 - min(1.0, share.share))))
+    return Assignment(cluster_name(number, writes), endpoints, round(1_000_000 * (1 - min(1.0, share.share))))
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -33,7 +33,7 @@
     revision: int = 0
 
 
-FRESH = Record()
+NEVER_WRITTEN = Record()
 
 
 class Claim(NamedTuple):
@@ -45,83 +45,83 @@
 
 
 @dataclass
-class Work:
+class TakeoverActions:
     """What follows from a look."""
 
     claims: list[Claim]
     releases: list[Claim]
     start: list[int]  # ours now: hand them to the module, with their owner
     stop: list[int]  # not ours any more: take them from the module
-    again_at: int = NEVER
+    retry_at: int = NEVER
 
 
 class Takeover:
     """One controller's view of all slices."""
 
-    def __init__(self, slices: int, name: str, linger_us: int, most: int = 64) -> None:
-        self.slices, self.name, self.linger_us, self.most = slices, name, linger_us, most
+    def __init__(self, slices: int, name: str, linger_us: int, max_releases: int = 64) -> None:
+        self.slices, self.name, self.linger_us, self.max_releases = slices, name, linger_us, max_releases
         self.records: dict[int, Record] = {}
         self.acting: set[int] = set()
 
     def received(self, number: int, record: Record) -> None:
         """A record as the service has it now; an older one than known is passed over."""
-        if record.revision >= self.records.get(number, FRESH).revision:
+        if record.revision >= self.records.get(number, NEVER_WRITTEN).revision:
             self.records[number] = record
 
-    def look(
+    def evaluate(
         self,
         now: int,
         members: Mapping[str, float],
         gone_at: Mapping[str, int],
-        session: bool,
-        busy: Callable[[int], bool],
-        leaving: bool = False,
-    ) -> Work:
+        has_session: bool,
+        is_busy: Callable[[int], bool],
+        is_leaving: bool = False,
+    ) -> TakeoverActions:
         """`members` are alive by name; `gone_at` tells since when holders (name/boot) are known to be dead.
 
         Without a session nothing is ours: all stops at once, and nothing is claimed or let go.
         """
-        work = Work([], [], [], [])
-        if not session:
-            work.stop = sorted(self.acting)
+        actions = TakeoverActions([], [], [], [])
+        if not has_session:
+            actions.stop = sorted(self.acting)
             self.acting.clear()
-            return work
+            return actions
         alive = {
-            name: 0.0 if leaving and name == self.plain(self.name) else weight
+            name: 0.0 if is_leaving and name == self.controller_name(self.name) else weight
             for name, weight in members.items()
         }
         released = 0
         for number in range(self.slices):
-            record = self.records.get(number, FRESH)
-            should = ownership.wanted(number, alive)
-            ours = record.holder == self.name
-            if ours and number not in self.acting:
+            record = self.records.get(number, NEVER_WRITTEN)
+            wanted_owner = ownership.wanted(number, alive)
+            is_own = record.holder == self.name
+            if is_own and number not in self.acting:
                 self.acting.add(number)
-                work.start.append(number)
-            elif not ours and number in self.acting:
+                actions.start.append(number)
+            elif not is_own and number in self.acting:
                 self.acting.discard(number)
-                work.stop.append(number)
-            if ours:
+                actions.stop.append(number)
+            if is_own:
                 if (
-                    should is not None
-                    and should != self.plain(self.name)
-                    and released < self.most
-                    and not busy(number)
+                    wanted_owner is not None
+                    and wanted_owner != self.controller_name(self.name)
+                    and released < self.max_releases
+                    and not is_busy(number)
                 ):
                     released += 1
-                    work.releases.append(Claim(number, record.revision, record._replace(holder="")))
-            elif should == self.plain(self.name):
-                free_at = self.free_at(record, gone_at, alive)
-                if now >= free_at:
+                    actions.releases.append(Claim(number, record.revision, record._replace(holder="")))
+            elif wanted_owner == self.controller_name(self.name):
+                claimable_at = self.claimable_at(record, gone_at, alive)
+                if now >= claimable_at:
                     epoch = record.epoch + 1
-                    work.claims.append(
+                    actions.claims.append(
                         Claim(number, record.revision, record._replace(epoch=epoch, holder=self.name))
                     )
                 else:
-                    work.again_at = min(work.again_at, free_at)
-        return work
+                    actions.retry_at = min(actions.retry_at, claimable_at)
+        return actions
 
-    def free_at(self, record: Record, gone_at: Mapping[str, int], alive: Collection[str]) -> int:
+    def claimable_at(self, record: Record, gone_at: Mapping[str, int], alive: Collection[str]) -> int:
         """From when on a slice may be claimed; `NEVER` while its holder is alive and has not let it go."""
         if not record.holder:
             return 0
@@ -129,7 +129,7 @@
             return gone_at[record.holder] + self.linger_us
         return NEVER
 
-    def orphans(self, alive: Collection[str], gone_at: Mapping[str, int]) -> set[str]:
+    def unseen_dead_holders(self, alive: Collection[str], gone_at: Mapping[str, int]) -> set[str]:
         """Holders (name/boot) of which nothing is alive, and whose end was never seen: it came before we did.
 
         A life's key is made before its first claim, and all is told in the order of revisions: so who holds
@@ -139,6 +139,6 @@
         return holders - set(alive) - gone_at.keys()
 
     @staticmethod
-    def plain(holder: str) -> str:
+    def controller_name(holder: str) -> str:
         """A holder's name without its boot."""
         return holder.partition("/")[0]
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -141,7 +141,7 @@
         """The controller, or the controller anew: under another port, with the same store."""
         self.file.write_text(file_of(self.states, "store", self.started))
         self.host = Host(operator.read(self.file), self.verdict.seed + 1)
-        turned = self.host.desk.turned
+        turned = self.host.xds_server.turned
 
         def watched(events: list[interface.Event], orders: list[interface.Order]) -> None:
             for order in orders:
@@ -151,19 +151,19 @@
                     self.verdict.handovers += owner is not None
             turned(events, orders)
 
-        self.host.desk.turned = watched  # type: ignore[method-assign, assignment]
+        self.host.xds_server.turned = watched  # type: ignore[method-assign, assignment]
         self.running = asyncio.create_task(self.host.run())
-        while not self.host.desk.address:
+        while not self.host.xds_server.address:
             if self.running.done():
                 self.running.result()
             await asyncio.sleep(0.005)
-        self.address = self.host.desk.address
+        self.address = self.host.xds_server.address
         for client in self.clients:
             client.address = self.address
 
     async def kill(self) -> None:
         """The controller is gone without a word."""
-        self.host.desk.turned = lambda events, orders: None  # type: ignore[method-assign]
+        self.host.xds_server.turned = lambda events, orders: None  # type: ignore[method-assign]
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
         for client in self.clients:
@@ -290,15 +290,19 @@
             await asyncio.sleep(0.02)
             now = clock_us()
             for client in self.clients:
-                standing = self.host.desk.clients.get(client.name)
+                standing = self.host.xds_server.clients.get(client.name)
                 if client.faults != Faults() or client.frozen or standing is None or not standing[0].watches:
                     self.checker.parted(client.name)
                     continue
-                joined = now - (self.host.clock.now() - standing[0].begun)
+                joined = now - (self.host.clock.now() - standing[0].started_at)
                 joined = max(joined, self.thawed.get(client.name, 0))
                 for number in range(SLICES):
                     self.checker.pick(now, client.name, number, client.reads_from(number), joined)
-                waiting = sum(len(watch.out.items) for watch in standing[0].watches.values() if watch.out)
+                waiting = sum(
+                    len(watch.in_flight.resources)
+                    for watch in standing[0].watches.values()
+                    if watch.in_flight
+                )
                 self.checker.waiting(now, client.name, waiting)
 
     def check(self, client: XdsClient | None = None) -> None:
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -34,7 +34,7 @@
 )
 from lapispass.peers.own_lease import OwnLease
 from lapispass.peers.record_writer import RecordWriter
-from lapispass.xds.host import STORE, Host
+from lapispass.xds.host import STORE_PROXY, Host
 
 LOOK_S = 0.03
 
@@ -53,14 +53,16 @@
         )
         self.under_way: set[int] = set()  # slices of the turn that is being carried out
         self.watched = 0  # the revision up to which all changes have come
-        self.desk.fence = self.may_let_write
+        self.xds_server.may_grant_writes = self.may_let_write
         self.members = Members()
         self.numbers: dict[str, int] = {}  # holder: its number as a proxy of our module
         self.gone_at: dict[str, int] = {}
-        self.takeover = Takeover(self.told.slices, self.lease.holder, linger_us=ttl_s * 100_000)
+        self.takeover = Takeover(self.deployment.slices, self.lease.holder, linger_us=ttl_s * 100_000)
         self.writer = RecordWriter(self.service, self.lease, self.takeover, self.counters)
-        self.snapshot = tables.Tables(self.told.slices)  # what all controllers together have published
-        self.mine = Picture(self.told.slices, self.told.classes, self.told.admits == "share")
+        self.snapshot = tables.Tables(self.deployment.slices)  # what all controllers together have published
+        self.mine = Picture(
+            self.deployment.slices, self.deployment.classes, self.deployment.admits == "share"
+        )
         self.revision, self.read_at = 0, 0
         self.pending: deque[tuple[int, int]] = deque(maxlen=4096)  # our turn, the revision of others it shows
         self.answered = -1
@@ -73,8 +75,8 @@
         self.leaving = False
         self.synced = asyncio.Event()
 
-    def lives(self) -> list[Coroutine[Any, Any, None]]:
-        return [self.turns(), self.lease.keep(), self.follow_service(), self.looks()]
+    def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
+        return [self.run_turns(), self.lease.keep(), self.follow_service(), self.looks()]
 
     def close_store(self) -> None:
         self.service.close()
@@ -102,7 +104,7 @@
         From its key's revision on, others wait for our answers. Before it they counted us as gone, so what
         they have published until then has to be here first.
         """
-        return self.lease.session.holds(now) and self.watched >= self.lease.made
+        return self.lease.session.is_valid(now) and self.watched >= self.lease.made
 
     # what the service says
 
@@ -122,7 +124,7 @@
             except (Unknown, Refused) as error:
                 self.counters["peers.watches_lost"] += 1
                 self.log.rate_limited("watch lost", why=error)
-            await asyncio.sleep(0.05 + 0.1 * self.desk.doorway.returns.draw())
+            await asyncio.sleep(0.05 + 0.1 * self.xds_server.connect_limiter.returns.draw())
 
     def take(self, changes: Sequence[Change], revision: int, whole: bool = False) -> None:
         """Records, lives, answers and nodes shut out; what others published goes to our clients."""
@@ -162,7 +164,7 @@
             # Only what the watch has brought may be answered for, and it brings everyone's changes in
             # order: our own writes have revisions beyond those of others that we have not seen yet.
             self.revision = max(self.revision, revision)
-            self.pending.append((self.desk.turn, revision))
+            self.pending.append((self.xds_server.turn, revision))
         self.answer_marks()
 
     def lives_of(self, changes: Sequence[Change]) -> dict[str, tuple[float, str]]:
@@ -178,26 +180,26 @@
         name."""
         now = self.clock.now()
         before = {name: f"{name}/{member.boot}" for name, member in self.members.known.items()}
-        come, gone = self.members.seen(alive, now)
+        come, gone = self.members.update(alive, now)
         for member in gone:
             holder = before[member.name]
             self.gone_at[holder] = now
             if (number := self.numbers.pop(holder, None)) is not None:
                 self.tell(interface.Left(number))
-                self.desk.numbers.give(now, number)
+                self.xds_server.proxy_numbers.release(now, number)
             self.counters["peers.left"] += 1
             self.log.say("controller gone", holder=holder)
         for member in come:
             holder = f"{member.name}/{member.boot}"
             if member.name == self.name:
                 continue
-            number = self.numbers[holder] = self.desk.numbers.take(now)
+            number = self.numbers[holder] = self.xds_server.proxy_numbers.allocate(now)
             self.peer_marks[member.name] = -1
             self.peer_answers.pop(member.name, None)
             self.tell(interface.Joined(number, True, "", None))
             self.counters["peers.joined"] += 1
             self.log.say("controller there", holder=holder)
-        horizon = now - 100 * self.told.lease_us
+        horizon = now - 100 * self.deployment.lease_us
         self.members.forget(horizon)
         self.gone_at = {holder: at for holder, at in self.gone_at.items() if at > horizon}
 
@@ -223,11 +225,11 @@
 
     def show(self, changes: Sequence[tables.Change], mark: int | None) -> None:
         """Published to our clients."""
-        self.snapshot.nodes = dict(self.desk.addresses)
+        self.snapshot.nodes = dict(self.xds_server.addresses)
         published = [
             change for change in changes if self.snapshot.apply(change) or isinstance(change, tables.SetOut)
         ]
-        self.desk.publish(self.snapshot, published, mark)
+        self.xds_server.publish(self.snapshot, published, mark)
 
     # what others wait for, and we for them
 
@@ -254,14 +256,14 @@
             alive = {
                 f"{name}/{m.boot}" for name, m in self.members.known.items() if name in self.members.alive()
             }
-            for holder in self.takeover.orphans(alive | {self.lease.holder}, self.gone_at):
+            for holder in self.takeover.unseen_dead_holders(alive | {self.lease.holder}, self.gone_at):
                 self.gone_at[holder] = now
             busy = {number for number in self.takeover.acting if not self.controller.at_rest(number)}
-            work = self.takeover.look(
+            work = self.takeover.evaluate(
                 now,
                 self.members.alive(),
                 self.gone_at,
-                self.lease.session.holds(now),
+                self.lease.session.is_valid(now),
                 busy.__contains__,
                 self.leaving,
             )
@@ -291,14 +293,14 @@
 
     async def answer(self) -> None:
         """Tells others up to which revision all of our clients have proven what stands."""
-        proven = self.desk.proven(self.clock.now())
+        proven = self.xds_server.acked_turn(self.clock.now())
         ready = [revision for turn, revision in self.pending if turn <= proven]
         if ready and ready[-1] > self.answered and self.lease.holds():
             key = records.answer_key(self.name)
             try:
                 await self.service.swap(
                     [self.lease.guard()],
-                    [Put(key, str(ready[-1]).encode(), self.lease.session.lease)],
+                    [Put(key, str(ready[-1]).encode(), self.lease.session.lease_id)],
                 )
                 self.answered = ready[-1]
             except (Unknown, Refused):
@@ -306,15 +308,15 @@
 
     # turns
 
-    async def turns(self) -> None:
+    async def run_turns(self) -> None:
         """Decide, have it carried out in the service, then publish. One turn's orders are under way at a
         time."""
         await self.synced.wait()
         while True:
-            await self.due()
+            await self.wait_until_due()
             events, orders = self.decide()
-            self.carry_out([order for order in orders if not isinstance(order, interface.Mark)])
-            changes, mark = self.mine.turn(events, orders, self.desk.addresses)
+            self.execute_orders([order for order in orders if not isinstance(order, interface.Mark)])
+            changes, mark = self.mine.turn(events, orders, self.xds_server.addresses)
             self.unreported.update(
                 {change.node: change.out for change in changes if isinstance(change, tables.SetOut)}
             )
@@ -322,7 +324,9 @@
                 continue
             slices = self.as_records(changes)
             steps = [
-                Put(self.out_key(node), b"1", self.lease.session.lease) if out else Delete(self.out_key(node))
+                Put(self.out_key(node), b"1", self.lease.session.lease_id)
+                if out
+                else Delete(self.out_key(node))
                 for node, out in self.unreported.items()
             ]
             revision = self.revision
@@ -353,7 +357,7 @@
             self.show(shown, mark)
             self.counters["host.commits"] += bool(slices)
             self.marks.append((mark, revision, self.clock.now()))
-            self.tell(interface.Answered(STORE, mark, 0))
+            self.tell(interface.Answered(STORE_PROXY, mark, 0))
             self.answer_marks()
 
     def out_key(self, node: str) -> str:
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -31,7 +31,7 @@
         self.service, self.name, self.weight, self.ttl_s = service, name, weight, ttl_s
         self.clock, self.counters, self.log, self.ended = clock, counters, log, ended
         self.boot = secrets.token_hex(4)
-        self.session = Session(early_us=ttl_s * 100_000)
+        self.session = Session(margin_us=ttl_s * 100_000)
         self.made = 0  # revision at which this life's key was made
 
     @property
@@ -41,7 +41,7 @@
 
     def holds(self) -> bool:
         """Whether anything may be published now."""
-        return self.session.holds(self.clock.now())
+        return self.session.is_valid(self.clock.now())
 
     def guard(self) -> Expect:
         """What a transaction of this life expects: that its key is there."""
@@ -52,16 +52,16 @@
         while True:
             sent = self.clock.now()
             try:
-                if self.session.lease:
+                if self.session.lease_id:
                     await self.renew(sent)
                 else:
                     await self.begin(sent)
             except (Unknown, Refused) as error:
                 self.counters["peers.calls_failed"] += 1
                 self.log.rate_limited("service not reached", why=error)
-                if self.session.lease and self.clock.now() >= self.session.until:
+                if self.session.lease_id and self.clock.now() >= self.session.valid_until:
                     self.ended("it could not be renewed")
-            wait = self.ttl_s / 5 if self.session.lease else self.ttl_s / 10
+            wait = self.ttl_s / 5 if self.session.lease_id else self.ttl_s / 10
             await asyncio.sleep(wait)
 
     async def begin(self, sent: int) -> None:
@@ -78,8 +78,8 @@
 
     async def renew(self, sent: int) -> None:
         """Has the lease renewed; it may be over at the service."""
-        left = await self.service.keep(self.session.lease)
-        if not self.session.kept(sent, self.session.lease, left):
+        left = await self.service.keep(self.session.lease_id)
+        if not self.session.renewed(sent, self.session.lease_id, left):
             self.ended("the service knows it no more")
 
     def give_up(self) -> None:
--- a/lapispass/peers/record_writer.py
+++ b/lapispass/peers/record_writer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapispass.core.takeover import FRESH, Record, Takeover
+from lapispass.core.takeover import NEVER_WRITTEN, Record, Takeover
 from lapispass.net.counters import Counters
 from lapispass.peers import records
 from lapispass.peers.coordination import Delete, Expect, Put, Refused, Service, Unknown
@@ -43,7 +43,7 @@
 
     def known(self, number: int) -> Record:
         """A slice's record as it was read or written last."""
-        return self.takeover.records.get(number, FRESH)
+        return self.takeover.records.get(number, NEVER_WRITTEN)
 
     async def carried_out(self, slices: dict[int, Record]) -> int | None:
         """Whether a transaction without an answer was: its first slice stands as it was to be."""
--- a/lapispass/xds/server.py
+++ b/lapispass/xds/closing_server.py
@@ -28,7 +28,7 @@
     from grpclib._typing import IServable
 
 BACKLOG = 1024
-AT_ONCE = 128
+MAX_ACCEPTS_AT_ONCE = 128
 SETTLE_S = 1.0  # for connections that were accepted just before the end
 
 
@@ -44,7 +44,7 @@
     def _protocol_factory(self) -> H2Protocol:
         return TrackedProtocol(super()._protocol_factory(), self)
 
-    def opened(self, transport: asyncio.Transport) -> None:
+    def connection_opened(self, transport: asyncio.Transport) -> None:
         """A connection stands; one that came while the server ended is closed at once."""
         self.connections.add(transport)
         if self.is_closing:
@@ -56,20 +56,20 @@
         An address that cannot be had for a moment, as while a former process ends, is tried for a while.
         """
         listener = await listener_in_time(address, BACKLOG)
-        await self.start_in_time(listener, tls)
+        await self.start_with_retry(listener, tls)
         asyncio.get_running_loop().remove_reader(listener.fileno())
         self.acceptor = Acceptor(
             listener,
             self._protocol_factory,
             name="xds",
-            at_once=AT_ONCE,
+            at_once=MAX_ACCEPTS_AT_ONCE,
             log=log,
             counters=counters,
             tls=tls,
         )
         return await bound_address(listener)
 
-    async def start_in_time(self, listener: socket.socket, tls: ssl.SSLContext | None) -> None:
+    async def start_with_retry(self, listener: socket.socket, tls: ssl.SSLContext | None) -> None:
         """Starts on a socket that listens; asyncio has it listen once more, which may fail for a moment."""
         loop = asyncio.get_running_loop()
         until = loop.time() + START.wait_s
@@ -110,7 +110,7 @@
         assert isinstance(transport, asyncio.Transport)
         super().connection_made(transport)
         self.transport = transport
-        self.server.opened(transport)
+        self.server.connection_opened(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         self.server.connections.discard(self.transport)
--- a/lapispass/xds/codec.py
+++ b/lapispass/xds/codec.py
@@ -20,20 +20,20 @@
 
 from lapispass import interface
 from lapispass.core.resources import Assignment, Cluster, Listener, Routes
-from lapispass.core.versions import Item, Update
+from lapispass.core.versions import Update, VersionedResource
 
 PREFIX = "type.googleapis.com/"
-URLS = {
+TYPE_URLS = {
     "cds": PREFIX + "envoy.config.cluster.v3.Cluster",
     "eds": PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
     "lds": PREFIX + "envoy.config.listener.v3.Listener",
     "rds": PREFIX + "envoy.config.route.v3.RouteConfiguration",
 }
-KIND_OF = {url: kind for kind, url in URLS.items()}
+KIND_BY_TYPE_URL = {url: kind for kind, url in TYPE_URLS.items()}
 SLICE_HEADER = "x-slice"
 
 
-def ads() -> config_source_pb2.ConfigSource:
+def ads_config_source() -> config_source_pb2.ConfigSource:
     """Whatever is pointed to comes over the same stream."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
@@ -54,7 +54,7 @@
             return cluster_pb2.Cluster(
                 name=name,
                 type=cluster_pb2.Cluster.EDS,
-                eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=ads()),
+                eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=ads_config_source()),
                 connect_timeout=duration(timeout_us),
                 lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
             )
@@ -65,7 +65,9 @@
         case Listener(name, target, _):
             manager = http_connection_manager_pb2.HttpConnectionManager(
                 stat_prefix=name,
-                rds=http_connection_manager_pb2.Rds(config_source=ads(), route_config_name=target),
+                rds=http_connection_manager_pb2.Rds(
+                    config_source=ads_config_source(), route_config_name=target
+                ),
             )
             inner = any_pb2.Any()
             inner.Pack(manager)
@@ -79,7 +81,7 @@
     return duration_pb2.Duration(seconds=us // 1_000_000, nanos=us % 1_000_000 * 1000)
 
 
-def micros(value: duration_pb2.Duration) -> int:
+def duration_us(value: duration_pb2.Duration) -> int:
     return int(value.seconds) * 1_000_000 + int(value.nanos) // 1000
 
 
@@ -130,49 +132,51 @@
     return made
 
 
-def ttl_us(item: Item) -> int:
+def ttl_us(item: VersionedResource) -> int:
     return item.body.ttl_us if isinstance(item.body, Listener) else 0
 
 
-def resource(name: str, item: Item, beat: bool) -> discovery_pb2.Resource:
+def wrapped_resource(name: str, item: VersionedResource, is_renewal: bool) -> discovery_pb2.Resource:
     """In its wrapper, with its time to live; a renewal has no content."""
     made = discovery_pb2.Resource(name=name, version=item.version)
-    if not beat or not ttl_us(item):
+    if not is_renewal or not ttl_us(item):
         made.resource.CopyFrom(packed(item.body))
     if ttl := ttl_us(item):
         made.ttl.CopyFrom(duration(ttl))
     return made
 
 
-def delta(update: Update) -> discovery_pb2.DeltaDiscoveryResponse:
+def delta_response(update: Update) -> discovery_pb2.DeltaDiscoveryResponse:
     return discovery_pb2.DeltaDiscoveryResponse(
-        type_url=URLS[update.kind],
+        type_url=TYPE_URLS[update.kind],
         nonce=update.nonce,
-        resources=[resource(name, item, update.beat) for name, item in update.items.items()],
+        resources=[
+            wrapped_resource(name, item, update.is_renewal) for name, item in update.resources.items()
+        ],
         removed_resources=list(update.removed),
     )
 
 
-def whole(update: Update) -> discovery_pb2.DiscoveryResponse:
+def sotw_response(update: Update) -> discovery_pb2.DiscoveryResponse:
     """State of the world: resources with a time to live travel in their wrapper, the others bare."""
     made = discovery_pb2.DiscoveryResponse(
-        type_url=URLS[update.kind], nonce=update.nonce, version_info=update.nonce
+        type_url=TYPE_URLS[update.kind], nonce=update.nonce, version_info=update.nonce
     )
-    for name, item in update.items.items():
+    for name, item in update.resources.items():
         if ttl_us(item):
-            made.resources.add().Pack(resource(name, item, update.beat))
+            made.resources.add().Pack(wrapped_resource(name, item, update.is_renewal))
         else:
             made.resources.append(packed(item.body))
     return made
 
 
-def detail(status: status_pb2.Status) -> str:
+def error_text(status: status_pb2.Status) -> str:
     """Why a client turned a response down, cut to a line."""
     return " ".join(status.message.split())[:300]
 
 
-def loads(
-    told: lrs_pb2.LoadStatsRequest, zone: str, nodes: dict[str, str], slices: int, classes: tuple[str, str]
+def load_events(
+    report: lrs_pb2.LoadStatsRequest, zone: str, nodes: dict[str, str], slices: int, classes: tuple[str, str]
 ) -> list[interface.Event]:
     """A load report as the module's sums: by endpoint what was met, by slice what came. Odd rows are left
     out.
@@ -180,8 +184,8 @@
     `nodes` finds a node by its address, `classes` names the class of reads and that of writes.
     """
     events: list[interface.Event] = []
-    for stats in told.cluster_stats:
-        over_us = micros(stats.load_report_interval)
+    for stats in report.cluster_stats:
+        over_us = duration_us(stats.load_report_interval)
         number, _, suffix = stats.cluster_name.partition(".")
         if not number.isdecimal() or int(number) >= slices or suffix not in ("r", "w") or over_us <= 0:
             continue
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -28,12 +28,12 @@
 from lapispass.operator.read import BadFile, Source
 from lapispass.retry import RetryWindow, retry_blocking
 from lapispass.store.assignments import Assignments, NotWritten, Spoilt
-from lapispass.xds.desk import desk_for, load_keys, tls_of
+from lapispass.xds.xds_server import create_xds_server, load_tls_keys, tls_context
 
 STATES = {Node.READY: "ready", Node.DRAINING: "draining", Node.GONE: "gone"}
-STORE = 0  # the number of the store as a proxy
+STORE_PROXY = 0  # the number of the store as a proxy
 COMPACT_EVERY = 1000  # turns
-OPENING = RetryWindow(wait_s=5.0)  # of a store on a disk that fails
+STORE_OPEN_RETRY = RetryWindow(wait_s=5.0)  # of a store on a disk that fails
 
 
 class Host:
@@ -46,20 +46,22 @@
             )
         self.source, self.clock, self.counters = source, Clock(), Counters()
         self.log = Part("host", 1_000_000)
-        self.told = operator.alone(source.told)
+        self.deployment = operator.alone(source.told)
         self.limits = limits = Limits()
         self.inbox: list[interface.Event] = []
-        self.wakes: dict[int, int] = {}
-        self.news, self.ended = asyncio.Event(), asyncio.Event()
-        self.probes = Probes(self.tell, Codec(self.told, limits.id_bytes), limits, self.counters)
-        self.controller = Controller(self.told, seed, self.clock.now())
-        self.desk = desk_for(source, self, self.clock.now, self.counters, self.told, seed)
+        self.timers: dict[int, int] = {}
+        self.has_events, self.stopped = asyncio.Event(), asyncio.Event()
+        self.probes = Probes(self.tell, Codec(self.deployment, limits.id_bytes), limits, self.counters)
+        self.controller = Controller(self.deployment, seed, self.clock.now())
+        self.xds_server = create_xds_server(
+            source, self, self.clock.now, self.counters, self.deployment, seed
+        )
         self.nodes: dict[str, Node] = {}
-        self.list_nodes(source)
+        self.load_nodes(source)
         self.open_store(source)
         # The store is a proxy that answers at once: without it nothing would be published while nobody may
         # write.
-        self.inbox.append(interface.Joined(STORE, True, "", None))
+        self.inbox.append(interface.Joined(STORE_PROXY, True, "", None))
 
     def open_store(self, source: Source) -> None:
         """The store's table is kept; the module starts no handover there for one lease.
@@ -68,23 +70,25 @@
         """
         path = Path(source.path).parent / source.told.alone.store_file
         try:
-            self.store = retry_blocking(lambda: Assignments(path, self.told.slices), self.may_open, OPENING)
+            self.store = retry_blocking(
+                lambda: Assignments(path, self.deployment.slices), self.may_retry_open, STORE_OPEN_RETRY
+            )
         except (Spoilt, NotWritten) as error:
             raise BadFile([source.at("alone.store_file", str(error))]) from None
         owners = self.store.owners()
-        for number in range(self.told.slices):
+        for number in range(self.deployment.slices):
             self.inbox.append(interface.Given(number, True))
             if owner := owners.get(number):
                 self.inbox.append(interface.Held(number, owner))
 
-    def may_open(self, error: Exception) -> bool:
+    def may_retry_open(self, error: Exception) -> bool:
         """Whether the store may open at a further attempt."""
         if not isinstance(error, NotWritten):
             return False
         self.log.rate_limited("store not opened", why=error)
         return True
 
-    def list_nodes(self, source: Source) -> None:
+    def load_nodes(self, source: Source) -> None:
         """The nodes of the file, as a list that is whole."""
         self.nodes = {node.id: node for node in source.told.node}
         entries = []
@@ -93,8 +97,10 @@
             born_us = node.started_unix_ms * 1000 or None
             entries.append(interface.Entry(node.id, node.zone, STATES[node.state], weight, born_us))
         self.inbox.append(interface.Listed("whole", tuple(entries)))
-        self.desk.addresses = {node.id: tables.Address(node.address, node.zone) for node in source.told.node}
-        self.news.set()
+        self.xds_server.addresses = {
+            node.id: tables.Address(node.address, node.zone) for node in source.told.node
+        }
+        self.has_events.set()
 
     def tell(self, event: interface.Event) -> None:
         """For the next turn. Sums are left out where too many wait."""
@@ -102,14 +108,17 @@
             self.counters["host.events_left_out"] += 1
             return
         self.inbox.append(event)
-        self.news.set()
+        self.has_events.set()
 
     def stop(self) -> None:
-        self.ended.set()
+        self.stopped.set()
 
     def print_counters(self) -> None:
         self.log.say(
-            "counters", clients=len(self.desk.clients), **self.counters.fields(), **{"log.lost": log.lost()}
+            "counters",
+            clients=len(self.xds_server.clients),
+            **self.counters.fields(),
+            **{"log.lost": log.lost()},
         )
 
     def read_again(self) -> bool:
@@ -117,12 +126,17 @@
         self.counters["host.reloads"] += 1
         try:
             source = operator.read(self.source.path)
-            if not source.told.HasField("alone") or operator.alone(source.told).slices != self.told.slices:
+            if (
+                not source.told.HasField("alone")
+                or operator.alone(source.told).slices != self.deployment.slices
+            ):
                 raise BadFile([source.at("alone.slices", "followed after a restart only")])
-            if self.desk.tls is not None:
-                load_keys(tls_of(source) or self.desk.tls, source)  # tried on a context of its own first
-                load_keys(self.desk.tls, source)
-            self.list_nodes(source)
+            if self.xds_server.tls is not None:
+                load_tls_keys(
+                    tls_context(source) or self.xds_server.tls, source
+                )  # tried on a context of its own first
+                load_tls_keys(self.xds_server.tls, source)
+            self.load_nodes(source)
             self.log.say("operator file read again", nodes=len(self.nodes))
         except BadFile as error:
             if error.may_pass:
@@ -134,49 +148,52 @@
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        lives = [loop.create_task(life) for life in (self.desk.run(), self.ended.wait(), *self.lives())]
+        tasks = [
+            loop.create_task(task)
+            for task in (self.xds_server.run(), self.stopped.wait(), *self.background_tasks())
+        ]
         try:
-            done, _ = await asyncio.wait(lives, return_when=asyncio.FIRST_COMPLETED)
-            for life in done:
-                life.result()
+            done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                task.result()
         finally:
-            for task in [*lives, *self.probes.under_way.values()]:
+            for task in [*tasks, *self.probes.under_way.values()]:
                 task.cancel()
-            await asyncio.gather(*lives, return_exceptions=True)
+            await asyncio.gather(*tasks, return_exceptions=True)
             self.close_store()
             self.print_counters()
 
-    def lives(self) -> list[Coroutine[Any, Any, None]]:
+    def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """What runs beside the desk."""
-        return [self.turns()]
+        return [self.run_turns()]
 
     def close_store(self) -> None:
         self.store.close()
 
-    async def turns(self) -> None:
+    async def run_turns(self) -> None:
         """One turn after the other."""
         while True:
-            await self.due()
+            await self.wait_until_due()
             await self.turn()
 
-    async def due(self) -> None:
+    async def wait_until_due(self) -> None:
         """Until there is news, or a wake-up has come."""
         now = self.clock.now()
-        wake = min(self.wakes.values(), default=now + 1_000_000)
+        wake = min(self.timers.values(), default=now + 1_000_000)
         try:
             async with asyncio.timeout(max(0, wake - now) / 1e6):
-                await self.news.wait()
+                await self.has_events.wait()
         except TimeoutError:
             pass
-        await asyncio.sleep(self.told.turn_every_us / 1e6)
+        await asyncio.sleep(self.deployment.turn_every_us / 1e6)
 
     def decide(self) -> tuple[list[interface.Event], list[interface.Order]]:
         """What waits goes to the module; its orders."""
         now = self.clock.now()
-        self.news.clear()
+        self.has_events.clear()
         events, self.inbox = self.inbox, []
-        for token in [token for token, at in self.wakes.items() if at <= now]:
-            del self.wakes[token]
+        for token in [token for token, at in self.timers.items() if at <= now]:
+            del self.timers[token]
             events.append(interface.Woken(token))
         self.counters["host.turns"] += 1
         return events, self.controller.turn(now, events)
@@ -185,8 +202,8 @@
         """The module's lines are on the disk before anyone is told."""
         events, orders = self.decide()
         await self.commit(orders)
-        self.carry_out(orders)
-        self.desk.turned(events, orders)
+        self.execute_orders(orders)
+        self.xds_server.turned(events, orders)
 
     async def commit(self, orders: Sequence[interface.Order]) -> None:
         """Writes until the disk takes it: what the module has decided is owed, and no turn goes before it."""
@@ -208,16 +225,16 @@
                 self.counters["host.compactions_failed"] += 1
                 self.log.rate_limited("store not compacted", why=error)
 
-    def carry_out(self, orders: Sequence[interface.Order]) -> None:
+    def execute_orders(self, orders: Sequence[interface.Order]) -> None:
         """What is not for clients."""
         for order in orders:
             match order:
                 case interface.Log(text):
                     self.log.say("mode", text=text)
                 case interface.Wake(token, at_us):
-                    self.wakes[token] = at_us
+                    self.timers[token] = at_us
                 case interface.Mark(number):
-                    self.tell(interface.Answered(STORE, number, 0))
+                    self.tell(interface.Answered(STORE_PROXY, number, 0))
                 case interface.Probe(backend):
                     node = self.nodes.get(str(backend))
                     self.probes.start(backend, node.address if node is not None else None)
@@ -225,13 +242,13 @@
                     pass
 
 
-async def serve(path: Path, seed: int, kind: type[Host]) -> None:
+async def serve(path: Path, seed: int, host_type: type[Host]) -> None:
     """A whole process."""
-    host = kind(operator.read_at_start(path), seed)
+    host = host_type(operator.read_at_start(path), seed)
     process.on_signals(host.stop, host.print_counters, host.read_again)
     await host.run()
 
 
-def main(path: Path, seed: int, kind: type[Host] = Host) -> int:
+def main(path: Path, seed: int, host_type: type[Host] = Host) -> int:
     """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
-    return process.status(serve(path, seed, kind), BadFile, f"{path}: xds.listen")
+    return process.status(serve(path, seed, host_type), BadFile, f"{path}: xds.listen")
--- a/lapispass/xds/beside.py
+++ b/lapispass/xds/platform_server.py
@@ -8,28 +8,28 @@
 from lapispass.core import tables
 from lapispass.net.service import Service
 from lapispass.operator.read import Source
-from lapispass.xds.desk import Desk, desk_for
+from lapispass.xds.xds_server import XdsServer, create_xds_server
 
 
-class Beside:
+class PlatformXdsServer:
     """A front for `Service.beside`."""
 
     def __init__(self, service: Service, source: Source) -> None:
-        told = service.launch.told
+        deployment = service.launch.told
         self.service = service
-        self.desk: Desk = desk_for(
-            source, service, service.clock.now, service.counters, told, service.launch.seed
+        self.xds_server: XdsServer = create_xds_server(
+            source, service, service.clock.now, service.counters, deployment, service.launch.seed
         )
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Addresses are the registry's; a node that it forgets is no endpoint any more."""
         if any(isinstance(event, interface.Listed) for event in events):
             zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
-            self.desk.addresses = {
+            self.xds_server.addresses = {
                 str(node): tables.Address(address, zones.get(str(node), ""))
                 for node, address in self.service.registry.addresses.items()
             }
-        self.desk.turned(events, orders)
+        self.xds_server.turned(events, orders)
 
     async def run(self) -> None:
-        await self.desk.run()
+        await self.xds_server.run()
--- a/lapispass/xds/write_routes.py
+++ b/lapispass/xds/write_routes.py
@@ -11,45 +11,45 @@
 
 from lapispass.core.clients import WRITES, Client
 from lapispass.core.resources import Routes
-from lapispass.core.versions import Shelf, Watch
+from lapispass.core.versions import ResourceCache, Watch
 
 
 class WriteRoutes:
     """Opens and closes the write routes of a desk's clients. What is offered of routes never changes."""
 
-    def __init__(self, offered: Shelf) -> None:
-        self.offered = offered
-        self.closed = Shelf()
-        for name, item in offered.items["rds"].items():
+    def __init__(self, open_cache: ResourceCache) -> None:
+        self.open_cache = open_cache
+        self.closed_cache = ResourceCache()
+        for name, item in open_cache.by_kind["rds"].items():
             body = Routes(WRITES, 0, "w", 1) if name == WRITES else item.body
-            self.closed.put("rds", name, body, item.turn)
+            self.closed_cache.put("rds", name, body, item.turn)
 
-    def watch(self, client: Client) -> None:
+    def add_watch(self, client: Client) -> None:
         """Called before a client's first message about routes is taken: it begins with closed ones."""
         if "rds" not in client.watches:
-            client.watches["rds"] = Watch("rds", client.whole, self.closed)
+            client.watches["rds"] = Watch("rds", client.is_sotw, self.closed_cache)
 
     def may_grant(self, client: Client) -> bool:
         """Whether the client is known to hold no open write routes, so that it may get the listener."""
         routes = client.watches.get("rds")
-        if routes is None or routes.shelf is not self.closed or not routes.settled:
+        if routes is None or routes.cache is not self.closed_cache or not routes.settled:
             return False
-        closed = self.closed.items["rds"][WRITES].version
-        return not routes.wants(WRITES) or routes.holds.get(WRITES) == closed
+        closed = self.closed_cache.by_kind["rds"][WRITES].version
+        return not routes.wants(WRITES) or routes.acked.get(WRITES) == closed
 
-    def follow(self, client: Client) -> None:
+    def update_routes(self, client: Client) -> None:
         """Opens the routes of a client that has the listener, and closes those of one that may not write."""
         routes = client.watches.get("rds")
         if routes is None:
             return
-        shelf = self.offered if has_listener(client) else self.closed
-        if routes.shelf is shelf:
+        cache = self.open_cache if has_listener(client) else self.closed_cache
+        if routes.cache is cache:
             return
-        routes.shelf.watchers.discard(routes)
-        routes.shelf = shelf
-        shelf.watchers.add(routes)
+        routes.cache.open_watches.discard(routes)
+        routes.cache = cache
+        cache.open_watches.add(routes)
         if routes.wants(WRITES):
-            routes.changed(WRITES, 0, False)
+            routes.mark_changed(WRITES, 0, False)
 
 
 def has_listener(client: Client) -> bool:
@@ -57,4 +57,4 @@
     if client.state != "writes":
         return False
     listeners = client.watches["lds"]
-    return WRITES in listeners.holds and listeners.took_us <= client.terms.slack_us
+    return WRITES in listeners.acked and listeners.answer_time_us <= client.limits.delivery_margin_us
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/xds_server.py
@@ -19,122 +19,128 @@
 
 from lapispass import interface
 from lapispass.core import resources, tables
-from lapispass.core.clients import TTL_FEATURE, Client, Doorway, Numbers, Step, Terms
+from lapispass.core.clients import TTL_FEATURE, Client, ClientLimits, ConnectLimiter, ProxyNumbers, Step
 from lapispass.core.picture import Picture
-from lapispass.core.versions import Shelf, Update
+from lapispass.core.versions import ResourceCache, Update
 from lapispass.net import log
 from lapispass.net.counters import Counters
 from lapispass.net.http import within
 from lapispass.net.log import Part
 from lapispass.operator.read import BadFile, Source
 from lapispass.xds import codec
-from lapispass.xds.server import ClosingServer
+from lapispass.xds.closing_server import ClosingServer
 from lapispass.xds.write_routes import WriteRoutes
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
-LOOK_S = 0.05
-STILL_US = 300_000
-NAME_MOST = 256
-STUCK_S = 10.0
-LATE_US = 100_000  # a process later than this stood still
+CHECK_INTERVAL_S = 0.05
+MAX_GAP_US = 300_000
+MAX_NODE_ID_LENGTH = 256
+STREAM_TIMEOUT_S = 10.0
+PROCESS_PAUSE_US = 100_000  # a process later than this stood still
 T = TypeVar("T")
 Message = Any  # a DiscoveryRequest or a DeltaDiscoveryRequest; the types are generated
 
 
-class Module(Protocol):
+class EventSink(Protocol):
     """What the desk needs of whoever runs the controller's turns."""
 
     def tell(self, event: interface.Event) -> None:
         """For the next turn."""
 
 
-class Desk:
+class XdsServer:
     """All streams of one controller."""
 
     def __init__(
         self,
-        module: Module,
+        event_sink: EventSink,
         now: Callable[[], int],
         deployment: interface.Deployment,
-        terms: Terms,
-        doorway: Doorway,
+        limits: ClientLimits,
+        connect_limiter: ConnectLimiter,
         first_number: int,
         counters: Counters,
         listen: str,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self.module, self.now, self.deployment, self.terms = module, now, deployment, terms
-        self.doorway, self.counters, self.tls = doorway, counters, tls
+        self.event_sink, self.now, self.deployment, self.limits = event_sink, now, deployment, limits
+        self.connect_limiter, self.counters, self.tls = connect_limiter, counters, tls
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
-        self.shelf = Shelf()
+        self.cache = ResourceCache()
         self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
-        resources.fixed(self.shelf, deployment.slices, max(1, deployment.usual_retry), terms.ttl_us)
-        self.write_routes = WriteRoutes(self.shelf)
-        self.numbers = Numbers(first_number, terms.lease_us)
+        resources.put_static_resources(
+            self.cache, deployment.slices, max(1, deployment.usual_retry), limits.ttl_us
+        )
+        self.write_routes = WriteRoutes(self.cache)
+        self.proxy_numbers = ProxyNumbers(first_number, limits.lease_us)
         self.clients: dict[str, tuple[Client, asyncio.Event]] = {}
         self.probation: dict[str, int] = {}  # names of clients that lapsed: until when they only read
         self.addresses: dict[str, tables.Address] = {}
         self.turn = 0
-        self.marks: deque[tuple[int, int, int]] = deque(maxlen=4096)
+        self.barriers: deque[tuple[int, int, int]] = deque(maxlen=4096)
         reads = next((kind.name for kind in deployment.classes if not kind.writes), "")
         self.classes = reads, next((kind.name for kind in deployment.classes if kind.writes), reads)
-        self.reporters = 0
-        self.fence: Callable[[int], bool] = lambda now: True  # whether clients may be let write at all
-        self.awake_at = now()
-        self.parted: list[tuple[int, int]] = []  # clients that left: until when they may write, by which turn
+        self.load_streams = 0
+        self.may_grant_writes: Callable[[int], bool] = lambda now: (
+            True
+        )  # whether clients may be let write at all
+        self.checked_at = now()
+        self.departed: list[
+            tuple[int, int]
+        ] = []  # clients that left: until when they may write, by which turn
         self.keepalive_s = 10.0
 
     # beside the controller's turns
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn's changes become versions; whoever watches them is woken."""
-        changes, mark = self.picture.turn(events, orders, self.addresses)
-        self.publish(self.picture.stands, changes, mark)
+        changes, barrier = self.picture.turn(events, orders, self.addresses)
+        self.publish(self.picture.stands, changes, barrier)
 
-    def publish(self, stands: tables.Tables, changes: list[tables.Change], mark: int | None) -> None:
+    def publish(self, stands: tables.Tables, changes: list[tables.Change], barrier: int | None) -> None:
         """Changes that stand already become versions; behind them a mark."""
-        if not changes and mark is None:
+        if not changes and barrier is None:
             return
         self.turn += 1
-        self.counters["xds.versions"] += resources.follow(self.shelf, stands, changes, self.turn)
-        if mark is not None:
-            self.marks.append((self.turn, mark, self.now()))
+        self.counters["xds.versions"] += resources.update_assignments(self.cache, stands, changes, self.turn)
+        if barrier is not None:
+            self.barriers.append((self.turn, barrier, self.now()))
         for _, wake in self.clients.values():
             wake.set()
 
-    def proven(self, now: int) -> int:
+    def acked_turn(self, now: int) -> int:
         """The turn up to which no client of this desk can write by an older table, for other controllers.
 
         Those that left count for a lease with what they had proven.
         """
-        self.parted = [(until, turn) for until, turn in self.parted if until > now]
+        self.departed = [(until, turn) for until, turn in self.departed if until > now]
         standing = [
-            min(self.turn, client.watches["eds"].proven_turn)
+            min(self.turn, client.watches["eds"].acked_turn)
             for client, _ in self.clients.values()
-            if client.number is not None and "eds" in client.watches
+            if client.proxy_number is not None and "eds" in client.watches
         ]
-        return min([self.turn, *standing, *(turn for _, turn in self.parted)])
+        return min([self.turn, *standing, *(turn for _, turn in self.departed)])
 
-    def awake(self) -> int:
+    def check_pause(self) -> int:
         """The time now. Guards clients against our own standing still, which would look like their
         silence."""
         now = self.now()
-        gap, self.awake_at = now - self.awake_at, now
-        if gap > STILL_US:
+        gap, self.checked_at = now - self.checked_at, now
+        if gap > MAX_GAP_US:
             self.counters["xds.stood_still"] += 1
             self.log.rate_limited("stood still", for_us=gap)
             for client, _ in self.clients.values():
-                client.stood_still(gap)
+                client.exclude_pause(gap)
         return now
 
-    async def ticks(self) -> None:
+    async def detect_pauses(self) -> None:
         """So that `awake` can tell a pause from quiet."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             log.write_on()
-            self.awake()
+            self.check_pause()
 
     # its life
 
@@ -148,7 +154,9 @@
             ADS + "DeltaAggregatedResources": Handler(
                 self.delta, stream, discovery_pb2.DeltaDiscoveryRequest, discovery_pb2.DeltaDiscoveryResponse
             ),
-            LRS: Handler(self.loads, stream, lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse),
+            LRS: Handler(
+                self.receive_load_reports, stream, lrs_pb2.LoadStatsRequest, lrs_pb2.LoadStatsResponse
+            ),
         }
 
     async def run(self) -> None:
@@ -163,11 +171,11 @@
         server = ClosingServer([self], config=pings)
         self.address = await server.listen(self.listen, self.tls, self.log, self.counters)
         self.log.say("listening for xDS clients", address=self.address, tls=self.tls is not None)
-        ticking = asyncio.get_running_loop().create_task(self.ticks())
+        detecting = asyncio.get_running_loop().create_task(self.detect_pauses())
         try:
             await server.wait_closed()
         finally:
-            ticking.cancel()
+            detecting.cancel()
             await server.end()
 
     async def sotw(self, stream: Stream[Any, Any]) -> None:
@@ -176,42 +184,42 @@
     async def delta(self, stream: Stream[Any, Any]) -> None:
         await self.serve(stream, False)
 
-    async def serve(self, stream: Stream[Any, Any], whole: bool) -> None:
+    async def serve(self, stream: Stream[Any, Any], is_sotw: bool) -> None:
         """The life of a client's stream."""
         self.counters["xds.streams"] += 1
-        if wait := self.doorway.ask(self.now(), len(self.clients)):
+        if wait := self.connect_limiter.delay_us(self.now(), len(self.clients)):
             self.counters["xds.refused"] += 1
             raise GRPCError(Status.UNAVAILABLE, f"come back in {wait // 1000} ms")
-        first = await self.in_time(stream.recv_message(), "no first message")
+        first = await self.with_timeout(stream.recv_message(), "no first message")
         if first is None:
             return
         name = first.node.id
-        if not 0 < len(name) <= NAME_MOST:
+        if not 0 < len(name) <= MAX_NODE_ID_LENGTH:
             raise GRPCError(Status.INVALID_ARGUMENT, "node.id is missing or too long")
         wake = asyncio.Event()
         has_ttl = TTL_FEATURE in first.node.client_features
-        if former := self.clients.get(name):
-            former[0].name = ""  # its own end finds that another one has its place
-            former[1].set()
+        if previous := self.clients.get(name):
+            previous[0].name = ""  # its own end finds that another one has its place
+            previous[1].set()
         client = Client(
             name,
             first.node.locality.zone,
-            whole,
+            is_sotw,
             has_ttl,
-            self.shelf,
-            self.terms,
+            self.cache,
+            self.limits,
             self.now(),
             self.probation.pop(name, 0),
         )
         self.clients[name] = client, wake
         self.counters["xds.joined"] += 1
         self.log.rate_limited(
-            "client joined", client=name, whole=whole, writes="reads only" if not has_ttl else "by lease"
+            "client joined", client=name, whole=is_sotw, writes="reads only" if not has_ttl else "by lease"
         )
-        sending = asyncio.get_running_loop().create_task(self.send(stream, client, wake))
+        sending = asyncio.get_running_loop().create_task(self.send_updates(stream, client, wake))
         reading: asyncio.Future[Any] | None = None
         try:
-            self.take(client, first)
+            self.handle_message(client, first)
             wake.set()
             while True:
                 reading = asyncio.ensure_future(stream.recv_message())
@@ -222,7 +230,7 @@
                 message = reading.result()
                 if message is None:
                     return
-                self.take(client, message)
+                self.handle_message(client, message)
                 wake.set()
         except (StreamTerminatedError, h2.exceptions.ProtocolError, ConnectionError):
             self.counters["xds.broken"] += 1
@@ -230,53 +238,59 @@
             sending.cancel()
             if reading is not None:
                 reading.cancel()
-            self.part(name, client)
+            self.remove_client(name, client)
             await asyncio.gather(sending, *([reading] if reading else []), return_exceptions=True)
 
-    async def in_time(self, work: Awaitable[T], what_is_late: str) -> T:
+    async def with_timeout(self, work: Awaitable[T], what_is_late: str) -> T:
         """What the work gives within `STUCK_S`; a client that takes longer costs its own stream.
 
         Where this process stood still, what has come meanwhile is read first.
         """
         try:
-            return await within(int(STUCK_S * 1e6), work, LATE_US)
+            return await within(int(STREAM_TIMEOUT_S * 1e6), work, PROCESS_PAUSE_US)
         except TimeoutError:
             self.counters["xds.stuck"] += 1
-            raise GRPCError(Status.DEADLINE_EXCEEDED, f"{what_is_late} within {STUCK_S:g} s") from None
+            raise GRPCError(
+                Status.DEADLINE_EXCEEDED, f"{what_is_late} within {STREAM_TIMEOUT_S:g} s"
+            ) from None
 
-    def part(self, name: str, client: Client) -> None:
+    def remove_client(self, name: str, client: Client) -> None:
         """The stream has ended, from whichever side."""
         if self.clients.get(name, (None,))[0] is client:
             del self.clients[name]
             if client.probation_until > self.now():
                 self.probation[name] = client.probation_until
-                while len(self.probation) > self.terms.clients:
+                while len(self.probation) > self.limits.max_clients:
                     self.probation.pop(next(iter(self.probation)))
-        self.report(client, client.end(self.now(), self.numbers))
+        self.report_step(client, client.end(self.now(), self.proxy_numbers))
         self.counters["xds.left"] += 1
 
-    async def send(self, stream: Stream[Any, Any], client: Client, wake: asyncio.Event) -> None:
+    async def send_updates(self, stream: Stream[Any, Any], client: Client, wake: asyncio.Event) -> None:
         """What is due, whenever something has changed, and renewals in time."""
-        async for update in self.due(client, wake):
-            message = codec.whole(update) if client.whole else codec.delta(update)
+        async for update in self.due_updates(client, wake):
+            message = codec.sotw_response(update) if client.is_sotw else codec.delta_response(update)
             self.counters["xds.responses"] += 1
-            self.counters["xds.resources"] += len(update.items)
+            self.counters["xds.resources"] += len(update.resources)
             self.counters["xds.bytes"] += message.ByteSize()
-            await self.in_time(stream.send_message(message), "a response is not read")
+            await self.with_timeout(stream.send_message(message), "a response is not read")
 
-    async def due(self, client: Client, wake: asyncio.Event) -> AsyncIterator[Update]:
+    async def due_updates(self, client: Client, wake: asyncio.Event) -> AsyncIterator[Update]:
         """One look after the other; ends where another stream has taken the client's name."""
         while client.name:
             wake.clear()
-            now = self.awake()
-            self.write_routes.follow(client)
-            step = client.look(now, self.turn, self.marks, self.numbers, self.may_write(client, now))
-            self.report(client, step)
+            now = self.check_pause()
+            self.write_routes.update_routes(client)
+            step = client.advance(
+                now, self.turn, self.barriers, self.proxy_numbers, self.may_write(client, now)
+            )
+            self.report_step(client, step)
             for update in step.updates:
                 yield update
             if not step.updates:
                 try:
-                    async with asyncio.timeout(LOOK_S if client.state != "reads" else 20 * LOOK_S):
+                    async with asyncio.timeout(
+                        CHECK_INTERVAL_S if client.state != "reads" else 20 * CHECK_INTERVAL_S
+                    ):
                         await wake.wait()
                 except TimeoutError:
                     pass
@@ -284,48 +298,48 @@
 
     def may_write(self, client: Client, now: int) -> bool:
         """Whether a client may go on writing, or be granted writing where it only reads."""
-        return self.fence(now) and (client.state != "reads" or self.write_routes.may_grant(client))
+        return self.may_grant_writes(now) and (client.state != "reads" or self.write_routes.may_grant(client))
 
-    def report(self, client: Client, step: Step) -> None:
+    def report_step(self, client: Client, step: Step) -> None:
         """A client's news for the module."""
-        if step.note:
+        if step.lapse_reason:
             self.counters["xds.lapsed"] += 1
-            self.log.rate_limited("client may not write", client=client.name, why=step.note)
+            self.log.rate_limited("client may not write", client=client.name, why=step.lapse_reason)
         if step.left is not None:
-            until = self.now() + step.left_after_us + self.terms.lease_us
-            self.parted.append((until, step.left_proved))
+            until = self.now() + step.left_delay_us + self.limits.lease_us
+            self.departed.append((until, step.left_acked_turn))
             left = interface.Left(step.left)
-            if step.left_after_us:
-                asyncio.get_running_loop().call_later(step.left_after_us / 1e6, self.module.tell, left)
+            if step.left_delay_us:
+                asyncio.get_running_loop().call_later(step.left_delay_us / 1e6, self.event_sink.tell, left)
             else:
-                self.module.tell(left)
+                self.event_sink.tell(left)
         if step.joined is not None:
-            self.module.tell(interface.Joined(step.joined, True, client.zone, None))
-        for number, mark, took_us in step.answered:
-            self.module.tell(interface.Answered(number, mark, took_us))
+            self.event_sink.tell(interface.Joined(step.joined, True, client.zone, None))
+        for number, barrier, took_us in step.acked_barriers:
+            self.event_sink.tell(interface.Answered(number, barrier, took_us))
 
-    def take(self, client: Client, message: Message) -> None:
+    def handle_message(self, client: Client, message: Message) -> None:
         """A client's message: an answer to the last response of its kind, and what it wants."""
-        kind = codec.KIND_OF.get(message.type_url)
+        kind = codec.KIND_BY_TYPE_URL.get(message.type_url)
         if kind is None:
             raise GRPCError(Status.INVALID_ARGUMENT, f"no resources of type {message.type_url[:200]!r}")
         known = kind in client.watches
         if kind == "rds":
-            self.write_routes.watch(client)
+            self.write_routes.add_watch(client)
         watch = client.watch(kind)
         if message.response_nonce:
             refused = message.HasField("error_detail")
-            heard = watch.answered(message.response_nonce, refused, self.awake())
-            self.counters[f"xds.{heard.what}"] += 1
-            if refused and heard.what == "refused":
+            heard = watch.handle_answer(message.response_nonce, refused, self.check_pause())
+            self.counters[f"xds.{heard.outcome}"] += 1
+            if refused and heard.outcome == "refused":
                 self.log.rate_limited(
                     "client turns a version down",
                     client=client.name,
                     kind=kind,
-                    why=codec.detail(message.error_detail),
+                    why=codec.error_text(message.error_detail),
                     names=",".join(heard.names[:5]),
                 )
-            if heard.what == "stale" and client.whole:
+            if heard.outcome == "stale" and client.is_sotw:
                 return  # by the specification a message with an older nonce is passed over whole
         if isinstance(message, discovery_pb2.DiscoveryRequest):
             names = set(message.resource_names) - {"*"}
@@ -335,7 +349,7 @@
             if not known:
                 watch.begin(None if everything else names, {})
             elif not everything:
-                watch.only(names)
+                watch.replace_subscription(names)
         elif not known:
             names = set(message.resource_names_subscribe) - {"*"}
             everything = (
@@ -343,15 +357,15 @@
             ) or "*" in message.resource_names_subscribe
             watch.begin(None if everything else names, dict(message.initial_resource_versions))
         else:
-            watch.want(message.resource_names_subscribe, message.resource_names_unsubscribe)
-        if client.names() > self.terms.names:
-            raise GRPCError(Status.RESOURCE_EXHAUSTED, f"more than {self.terms.names} names")
+            watch.change_subscription(message.resource_names_subscribe, message.resource_names_unsubscribe)
+        if client.subscribed_names() > self.limits.max_names:
+            raise GRPCError(Status.RESOURCE_EXHAUSTED, f"more than {self.limits.max_names} names")
 
-    async def loads(self, stream: Stream[Any, Any]) -> None:
+    async def receive_load_reports(self, stream: Stream[Any, Any]) -> None:
         """A load report's stream: every report interval what was met and what came."""
-        if self.reporters >= self.terms.clients:
+        if self.load_streams >= self.limits.max_clients:
             raise GRPCError(Status.RESOURCE_EXHAUSTED, "too many load reports")
-        self.reporters += 1
+        self.load_streams += 1
         zone = ""
         try:
             while (told := await stream.recv_message()) is not None:
@@ -365,17 +379,17 @@
                     )
                     await stream.send_message(answer)
                 nodes = {address.address: node for node, address in self.addresses.items()}
-                events = codec.loads(told, zone, nodes, self.deployment.slices, self.classes)
+                events = codec.load_events(told, zone, nodes, self.deployment.slices, self.classes)
                 self.counters["xds.reports"] += 1
                 for event in events:
-                    self.module.tell(event)
+                    self.event_sink.tell(event)
         except (StreamTerminatedError, h2.exceptions.ProtocolError, ConnectionError):
             self.counters["xds.broken"] += 1
         finally:
-            self.reporters -= 1
+            self.load_streams -= 1
 
 
-def tls_of(source: Source) -> ssl.SSLContext | None:
+def tls_context(source: Source) -> ssl.SSLContext | None:
     """Keys of the file, or none; what can't be read is named by its field."""
     told = source.told.xds
     if not told.HasField("tls"):
@@ -383,11 +397,11 @@
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     context.set_alpn_protocols(["h2"])
-    load_keys(context, source)
+    load_tls_keys(context, source)
     return context
 
 
-def load_keys(context: ssl.SSLContext, source: Source) -> None:
+def load_tls_keys(context: ssl.SSLContext, source: Source) -> None:
     """Into a context that may be in use: streams that stand keep theirs, new ones get these."""
     folder, tls = Path(source.path).parent, source.told.xds.tls
     field = "xds.tls.certificate_file"
@@ -401,24 +415,34 @@
         raise BadFile([source.at(field, f"{type(error).__name__} {error}")]) from None
 
 
-def desk_for(
+def create_xds_server(
     source: Source,
-    module: Module,
+    event_sink: EventSink,
     now: Callable[[], int],
     counters: Counters,
     deployment: interface.Deployment,
     seed: int,
-) -> Desk:
+) -> XdsServer:
     """The front as the operator file sets it; its clients' numbers follow those of the deployment's
     proxies."""
     told = source.told.xds
-    usual = Terms(deployment.lease_us)
-    terms = usual._replace(
-        late_us=told.late_ms * 1000 if told.HasField("late_ms") else usual.late_us,
-        clients=told.clients if told.HasField("clients") else usual.clients,
+    usual = ClientLimits(deployment.lease_us)
+    limits = usual._replace(
+        ack_timeout_us=told.late_ms * 1000 if told.HasField("late_ms") else usual.ack_timeout_us,
+        max_clients=told.clients if told.HasField("clients") else usual.max_clients,
     )
     per_s = told.new_per_s if told.HasField("new_per_s") else 200.0
-    doorway = Doorway(terms.clients, per_s, told.burst if told.HasField("burst") else 100, seed)
-    return Desk(
-        module, now, deployment, terms, doorway, deployment.proxies, counters, told.listen, tls_of(source)
+    connect_limiter = ConnectLimiter(
+        limits.max_clients, per_s, told.burst if told.HasField("burst") else 100, seed
+    )
+    return XdsServer(
+        event_sink,
+        now,
+        deployment,
+        limits,
+        connect_limiter,
+        deployment.proxies,
+        counters,
+        told.listen,
+        tls_context(source),
     )
--- a/tests/test_front_starts.py
+++ b/tests/test_front_starts.py
@@ -16,7 +16,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.http import split
 from lapispass.net.log import Part
-from lapispass.xds.server import ClosingServer
+from lapispass.xds.closing_server import ClosingServer
 
 MOMENTS = [
     (Call.SOCKET, errno.ENFILE),
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -23,7 +23,7 @@
 from lapispass.standins.nodes import CounterNode, Strength, clock_us
 from lapispass.standins.screens import Screen
 from lapispass.standins.xds_client import XdsClient
-from lapispass.xds.beside import Beside
+from lapispass.xds.platform_server import PlatformXdsServer
 
 pytestmark = pytest.mark.time_limit(30)
 ROOMY = "connections: 5000 new_per_s: 400 burst: 40 cold_ms: 2000 cold_share: 0.2"
@@ -343,9 +343,9 @@
 async def test_xds_clients_beside_the_platforms_controller(tmp_path: Path) -> None:
     """The same turns reach the relay's proxies, gates and xDS clients."""
     async with fleet(tmp_path, 2, extra='xds { listen: "127.0.0.1:0" }') as stand:
-        front = next(front for front in stand.service.beside if isinstance(front, Beside))
-        await until(lambda: front.desk.address)
-        one = XdsClient(front.desk.address, "c0", 1)
+        front = next(front for front in stand.service.beside if isinstance(front, PlatformXdsServer))
+        await until(lambda: front.xds_server.address)
+        one = XdsClient(front.xds_server.address, "c0", 1)
         running = asyncio.create_task(one.run())
         stand.list("n0", "Terminating")
         await until(lambda: stand.relay.owners == dict.fromkeys(range(12), "n1"), 15)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -25,7 +25,7 @@
 from lapispass.core.facts import NEVER, SECOND
 from lapispass.core.membership import Members, Session
 from lapispass.core.tables import slice_of
-from lapispass.core.takeover import FRESH, Record, Takeover
+from lapispass.core.takeover import NEVER_WRITTEN, Record, Takeover
 from lapispass.operator import read as operator
 from lapispass.peers.coordination import Compacted, Delete, Expect, Put, Service, Unknown
 from lapispass.peers.host import SharedHost
@@ -39,24 +39,24 @@
 
 
 def test_a_session_ends_by_its_holders_clock_before_the_service_ends_it() -> None:
-    session = Session(early_us=SECOND // 10)
-    assert not session.holds(NOW)
+    session = Session(margin_us=SECOND // 10)
+    assert not session.is_valid(NOW)
     session.granted(NOW, 7, 3 * SECOND)  # sent then; the service counts from when it came, which is later
-    assert session.holds(NOW + 2 * SECOND) and not session.holds(NOW + 3 * SECOND - SECOND // 10 - 1)
-    assert not session.kept(NOW + SECOND, 8, 3 * SECOND)  # of another lease
-    assert not session.kept(NOW + SECOND, 7, 0)  # the service knows it no more
-    assert session.kept(NOW + SECOND, 7, 3 * SECOND) and session.holds(NOW + 3 * SECOND)
+    assert session.is_valid(NOW + 2 * SECOND) and not session.is_valid(NOW + 3 * SECOND - SECOND // 10 - 1)
+    assert not session.renewed(NOW + SECOND, 8, 3 * SECOND)  # of another lease
+    assert not session.renewed(NOW + SECOND, 7, 0)  # the service knows it no more
+    assert session.renewed(NOW + SECOND, 7, 3 * SECOND) and session.is_valid(NOW + 3 * SECOND)
     session.end()
-    assert not session.holds(NOW) and session.lost == 1
+    assert not session.is_valid(NOW) and session.times_lost == 1
 
 
 def test_another_boot_under_the_same_name_has_gone_and_come() -> None:
     members = Members()
-    come, gone = members.seen({"a": (1.0, "x")}, NOW)
+    come, gone = members.update({"a": (1.0, "x")}, NOW)
     assert [m.name for m in come] == ["a"] and not gone
-    come, gone = members.seen({"a": (1.0, "y")}, NOW + 1)
+    come, gone = members.update({"a": (1.0, "y")}, NOW + 1)
     assert [m.boot for m in gone] == ["x"] and [m.boot for m in come] == ["y"]
-    members.seen({}, NOW + 2)
+    members.update({}, NOW + 2)
     assert not members.alive()
     members.forget(NOW + 3)
     assert not members.known
@@ -84,18 +84,18 @@
     made = Takeover(1, "a/1", linger_us=300)
     made.received(0, Record(4, "b/1", "n0", 1.0, False, 10))
     free = lambda number: False  # noqa: E731
-    assert not made.look(NOW, {"a": 1.0, "b": 1.0}, {}, True, free).claims
-    work = made.look(NOW, {"a": 1.0}, {"b/1": NOW}, True, free)
-    assert not work.claims and work.again_at == NOW + 300
-    claims = made.look(NOW + 300, {"a": 1.0}, {"b/1": NOW}, True, free).claims
+    assert not made.evaluate(NOW, {"a": 1.0, "b": 1.0}, {}, True, free).claims
+    work = made.evaluate(NOW, {"a": 1.0}, {"b/1": NOW}, True, free)
+    assert not work.claims and work.retry_at == NOW + 300
+    claims = made.evaluate(NOW + 300, {"a": 1.0}, {"b/1": NOW}, True, free).claims
     assert claims[0].record == Record(5, "a/1", "n0", 1.0, False, 10) and claims[0].revision == 10
 
 
 def test_without_a_session_nothing_is_ours() -> None:
     made = Takeover(2, "a/1", 0)
     made.received(0, Record(1, "a/1", None, 1.0, False, 3))
-    assert made.look(NOW, {"a": 1.0}, {}, True, lambda n: False).start == [0]
-    work = made.look(NOW, {"a": 1.0}, {}, False, lambda n: False)
+    assert made.evaluate(NOW, {"a": 1.0}, {}, True, lambda n: False).start == [0]
+    work = made.evaluate(NOW, {"a": 1.0}, {}, False, lambda n: False)
     assert work.stop == [0] and not work.claims and not made.acting
 
 
@@ -104,8 +104,8 @@
     made = Takeover(2, "a/1", linger_us=300)
     made.received(0, Record(4, "b/old", "n0", 1.0, False, 10))
     made.received(1, Record(4, "b/new", "n0", 1.0, False, 11))
-    assert made.orphans({"a/1", "b/new"}, {}) == {"b/old"}
-    assert made.orphans({"a/1", "b/new"}, {"b/old": NOW}) == set()
+    assert made.unseen_dead_holders({"a/1", "b/new"}, {}) == {"b/old"}
+    assert made.unseen_dead_holders({"a/1", "b/new"}, {"b/old": NOW}) == set()
 
 
 def test_an_older_record_than_known_is_passed_over_and_a_holder_unheard_of_is_not_dead() -> None:
@@ -113,7 +113,10 @@
     made.received(0, Record(5, "b/1", "n1", 1.0, False, 9))
     made.received(0, Record(4, "a/1", "n0", 1.0, False, 8))
     assert made.records[0].epoch == 5
-    assert made.free_at(made.records[0], {}, {"a"}) == NEVER and made.free_at(FRESH, {}, {"a"}) == 0
+    assert (
+        made.claimable_at(made.records[0], {}, {"a"}) == NEVER
+        and made.claimable_at(NEVER_WRITTEN, {}, {"a"}) == 0
+    )
 
 
 @given(some.integers(0, 5000))
@@ -134,7 +137,7 @@
         if chance.random() < 0.03 and sum(session.values()) > 1:
             victim = chance.choice([name for name in names if session[name]])
             session[victim], dead[victim] = False, now  # its own clock says so before the service does
-            made[victim].look(now, {}, {}, False, lambda n: False)
+            made[victim].evaluate(now, {}, {}, False, lambda n: False)
         alive = {name.split("/")[0]: 1.0 for name in names if name not in dead}
         for name in names:
             for _ in range(chance.randrange(3)):
@@ -142,9 +145,9 @@
                     made[name].received(*lag[name].pop(0))
             if not session[name]:
                 continue
-            work = made[name].look(now, alive, dead, True, lambda n: chance.random() < 0.2)
+            work = made[name].evaluate(now, alive, dead, True, lambda n: chance.random() < 0.2)
             for claim in [*work.claims, *work.releases]:
-                if truth.get(claim.slice, FRESH).revision == claim.revision:  # compare and swap
+                if truth.get(claim.slice, NEVER_WRITTEN).revision == claim.revision:  # compare and swap
                     revision += 1
                     truth[claim.slice] = claim.record._replace(revision=revision)
                     assert claim.record.epoch >= epochs.get(claim.slice, 0)
@@ -156,7 +159,9 @@
             acting = [
                 name
                 for name in names
-                if session[name] and number in made[name].acting and truth.get(number, FRESH).holder == name
+                if session[name]
+                and number in made[name].acting
+                and truth.get(number, NEVER_WRITTEN).holder == name
             ]
             assert len(acting) <= 1
 
@@ -236,7 +241,7 @@
     async def start(self, name: str) -> SharedHost:
         host = self.hosts[name] = SharedHost(operator.read(self.file(name)), 5)
         self.tasks[name] = asyncio.create_task(host.run())
-        await until(lambda: host.desk.address or self.tasks[name].done())
+        await until(lambda: host.xds_server.address or self.tasks[name].done())
         return host
 
     async def kill(self, name: str) -> None:
@@ -283,7 +288,7 @@
 async def test_one_is_killed_and_the_other_takes_its_slices_and_serves_them(tmp_path: Path) -> None:
     async with shared(tmp_path, "a", "b") as stand:
         assert {len(host.takeover.acting) for host in stand.hosts.values()} != {12}
-        client = XdsClient(stand.hosts["b"].desk.address, "c", 1)
+        client = XdsClient(stand.hosts["b"].xds_server.address, "c", 1)
         running = asyncio.create_task(client.run())
         await until(lambda: all(client.writes_to(number) for number in range(12)))
         before = dict(stand.hosts["b"].snapshot.owners)
@@ -301,7 +306,7 @@
 
 async def test_a_mark_waits_for_the_clients_of_the_other_controller(tmp_path: Path) -> None:
     async with shared(tmp_path, "a", "b") as stand:
-        clients = [XdsClient(host.desk.address, f"c{name}", 1) for name, host in stand.hosts.items()]
+        clients = [XdsClient(host.xds_server.address, f"c{name}", 1) for name, host in stand.hosts.items()]
         running = [asyncio.create_task(client.run()) for client in clients]
         await until(lambda: all(c.writes_to(n) for c in clients for n in range(12)))
         clients[1].faults.late_s = 0.05
@@ -403,7 +408,9 @@
             published.append(Published(0, number, owner))
         for host in stand.hosts.values():
             watched(host)
-        clients = [XdsClient(host.desk.address, f"c{n}", n) for n, host in enumerate(stand.hosts.values())]
+        clients = [
+            XdsClient(host.xds_server.address, f"c{n}", n) for n, host in enumerate(stand.hosts.values())
+        ]
         running = [asyncio.create_task(client.run()) for client in clients]
         sent = 0
         for round_ in range(3):
@@ -421,7 +428,7 @@
             await stand.kill(victim)
             watched(await stand.start(victim))
             for client, host in zip(clients, stand.hosts.values(), strict=True):
-                client.address = host.desk.address
+                client.address = host.xds_server.address
                 client.drop()
         await until(stand.whole, 15)
         await ended(*running)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -131,7 +131,7 @@
 def test_1024_controllers_share_the_slices_and_find_the_same() -> None:
     weights = {f"n{n}": 1.0 for n in range(MANY)}
     known = Members()
-    come, gone = known.seen({name: (weight, "1") for name, weight in weights.items()}, 5)
+    come, gone = known.update({name: (weight, "1") for name, weight in weights.items()}, 5)
     assert len(come) == MANY and not gone and known.alive() == weights
     shares = ownership.shares(200, weights)
     assert len(shares) == 200 and len(set(shares.values())) > 150
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -243,7 +243,7 @@
         client.close()
         service.stop()
     known = Members()
-    come, _ = known.seen({f"n-{n:03d}": (1.0, "1") for n in range(CONTROLLERS)}, 5)
+    come, _ = known.update({f"n-{n:03d}": (1.0, "1") for n in range(CONTROLLERS)}, 5)
     assert len(come) == CONTROLLERS
 
 
--- a/tests/test_write_routes.py
+++ b/tests/test_write_routes.py
@@ -7,41 +7,41 @@
 import pytest
 
 from lapispass.core import resources
-from lapispass.core.clients import WRITES, Client, Numbers, Terms
+from lapispass.core.clients import WRITES, Client, ClientLimits, ProxyNumbers
 from lapispass.core.facts import SECOND
-from lapispass.core.versions import Shelf, Update
+from lapispass.core.versions import ResourceCache, Update
 from lapispass.xds.write_routes import WriteRoutes
 
 NOW = 1_000 * SECOND
-TERMS = Terms(lease_us=2 * SECOND)
+TERMS = ClientLimits(lease_us=2 * SECOND)
 
 
 class Stream:
     """A client and its server's steps, without a network."""
 
     def __init__(self, whole: bool = False, routes: set[str] | None = None, held: str = "") -> None:
-        self.offered, self.numbers, self.now = Shelf(), Numbers(100, TERMS.lease_us), NOW
-        resources.fixed(self.offered, 2, 1, TERMS.ttl_us)
+        self.offered, self.numbers, self.now = ResourceCache(), ProxyNumbers(100, TERMS.lease_us), NOW
+        resources.put_static_resources(self.offered, 2, 1, TERMS.ttl_us)
         self.write_routes = WriteRoutes(self.offered)
         self.client = Client("c0", "east", whole, True, self.offered, TERMS, NOW)
         for kind in ("cds", "eds", "lds"):
             self.client.watch(kind).begin(None, {})
-        self.write_routes.watch(self.client)
+        self.write_routes.add_watch(self.client)
         self.client.watch("rds").begin(routes, {WRITES: held} if held else {})
 
     def version(self, is_open: bool) -> str:
-        shelf = self.offered if is_open else self.write_routes.closed
-        return shelf.items["rds"][WRITES].version
+        cache = self.offered if is_open else self.write_routes.closed_cache
+        return cache.by_kind["rds"][WRITES].version
 
     def look(self) -> list[Update]:
-        self.write_routes.follow(self.client)
+        self.write_routes.update_routes(self.client)
         may_write = self.client.state != "reads" or self.write_routes.may_grant(self.client)
-        return self.client.look(self.now, 0, deque(), self.numbers, may_write).updates
+        return self.client.advance(self.now, 0, deque(), self.numbers, may_write).updates
 
     def acknowledge(self, updates: list[Update], after_us: int = 0) -> None:
         for update in updates:
-            heard = self.client.watches[update.kind].answered(update.nonce, False, self.now + after_us)
-            assert heard.what == "acknowledged"
+            heard = self.client.watches[update.kind].handle_answer(update.nonce, False, self.now + after_us)
+            assert heard.outcome == "acknowledged"
         self.now += after_us
 
     def sent(self, until: str = "", most: int = 20) -> list[tuple[str, str]]:
@@ -53,8 +53,8 @@
         for _ in range(most):
             updates = self.look()
             for update in updates:
-                if WRITES in update.items and not update.beat:
-                    seen.append((update.kind, update.items[WRITES].version))
+                if WRITES in update.resources and not update.is_renewal:
+                    seen.append((update.kind, update.resources[WRITES].version))
                     if update.kind == until:
                         return seen
             self.acknowledge(updates)
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("whole", [False, True])
 def test_the_listener_comes_between_closed_routes_and_open_ones(whole: bool) -> None:
     stream = Stream(whole)
-    kinds = [("rds", stream.version(False)), ("lds", stream.offered.items["lds"][WRITES].version)]
+    kinds = [("rds", stream.version(False)), ("lds", stream.offered.by_kind["lds"][WRITES].version)]
     assert stream.sent() == [*kinds, ("rds", stream.version(True))]
 
 
@@ -73,7 +73,7 @@
     stream = Stream(held=Stream().version(True))
     assert stream.sent(until="lds") == [
         ("rds", stream.version(False)),
-        ("lds", stream.offered.items["lds"][WRITES].version),
+        ("lds", stream.offered.by_kind["lds"][WRITES].version),
     ]
 
 
@@ -94,7 +94,7 @@
     # Envoy asks for the routes that its listeners name.
     stream = Stream(routes={"reads"})
     assert [kind for kind, _ in stream.sent()] == ["lds"]
-    stream.client.watches["rds"].want([WRITES], [])
+    stream.client.watches["rds"].change_subscription([WRITES], [])
     assert stream.sent() == [("rds", stream.version(True))]
 
 
@@ -102,20 +102,20 @@
     stream = Stream()
     stream.sent(until="lds")
     listeners = stream.client.watches["lds"]
-    assert listeners.out is not None
-    stream.acknowledge([listeners.out], TERMS.slack_us + 1)
+    assert listeners.in_flight is not None
+    stream.acknowledge([listeners.in_flight], TERMS.delivery_margin_us + 1)
     assert stream.sent() == [] and stream.client.state == "reads"
 
 
 def test_routes_are_closed_anew_where_the_right_to_write_ends_and_open_with_the_next_grant() -> None:
     stream = Stream()
     stream.sent()
-    stream.client.watches["eds"].nacks = TERMS.nacks_most
+    stream.client.watches["eds"].nacks = TERMS.max_nacks
     assert stream.sent() == [("rds", stream.version(False))]
     assert stream.client.state == "reads"
     stream.client.watches["eds"].nacks = 0
     stream.now = stream.client.probation_until
-    kinds = [("lds", stream.offered.items["lds"][WRITES].version), ("rds", stream.version(True))]
+    kinds = [("lds", stream.offered.by_kind["lds"][WRITES].version), ("rds", stream.version(True))]
     assert stream.sent() == kinds
 
 
@@ -123,4 +123,4 @@
     stream = Stream()
     stream.sent()
     stream.client.end(stream.now, stream.numbers)
-    assert not stream.offered.watchers and not stream.write_routes.closed.watchers
+    assert not stream.offered.open_watches and not stream.write_routes.closed_cache.open_watches
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -27,8 +27,8 @@
 from lapispass.rules.held import Breach
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
+from lapispass.xds.closing_server import ClosingServer
 from lapispass.xds.host import Host
-from lapispass.xds.server import ClosingServer
 
 FILE = """
 xds {{ listen: "127.0.0.1:0" late_ms: 400 new_per_s: {rate} burst: {rate} {tls} }}
@@ -47,9 +47,9 @@
     file = path / "operator.textproto"
     file.write_text(FILE.format(n0="READY", tls=tls, rate=rate))
     host = Host(operator.read(file), 5)
-    host.desk.keepalive_s = keepalive_s
+    host.xds_server.keepalive_s = keepalive_s
     running = asyncio.create_task(host.run())
-    await until(lambda: host.desk.address or running.done())
+    await until(lambda: host.xds_server.address or running.done())
     try:
         yield host
     finally:
@@ -78,7 +78,7 @@
 def test_a_client_gets_a_small_fleet_and_a_drained_node_disappears(tmp_path: Path, incremental: bool) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.desk.address, "c0", 1, incremental)
+            one = XdsClient(host.xds_server.address, "c0", 1, incremental)
             async with clients(one):
                 await until(lambda: all(one.writes_to(number) for number in range(6)))
                 assert len(one.held["cds"]) == 12 and set(one.held["rds"]) == {"reads", "writes"}
@@ -96,7 +96,7 @@
 def test_a_client_that_does_not_acknowledge_holds_up_nobody_for_long(tmp_path: Path, faults: Faults) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            good, bad = (XdsClient(host.desk.address, name, 1) for name in ("good", "bad"))
+            good, bad = (XdsClient(host.xds_server.address, name, 1) for name in ("good", "bad"))
             async with clients(good, bad):
                 await until(lambda: all(c.writes_to(n) for c in (good, bad) for n in range(6)))
                 bad.faults = faults
@@ -114,7 +114,7 @@
 def test_a_client_without_times_to_live_reads_and_never_writes(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.desk.address, "c0", 1, faults=Faults(ttl=False))
+            one = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(ttl=False))
             async with clients(one):
                 await until(lambda: all(one.reads_from(number) for number in range(6)))
                 await asyncio.sleep(0.5)
@@ -126,7 +126,7 @@
 def test_a_client_that_loses_its_stream_stops_writing_within_the_lease_and_reads_on(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.desk.address, "c0", 1, faults=Faults(wait_s=5.0))
+            one = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(wait_s=5.0))
             async with clients(one):
                 await until(lambda: one.writes_to(0))
                 one.drop()
@@ -141,7 +141,7 @@
 
     async def test() -> None:
         async with controller(tmp_path, keepalive_s=3600.0) as host:
-            address = host.desk.address.split(":")
+            address = host.xds_server.address.split(":")
             opened = [await asyncio.open_connection(*address) for _ in range(20)]
             await opened[0][0].readexactly(9)  # the server's settings: it is served by now
             coming = [asyncio.create_task(asyncio.open_connection(*address)) for _ in range(20)]
@@ -180,16 +180,16 @@
 def test_two_streams_of_one_node_the_newer_one_stays(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            first = XdsClient(host.desk.address, "same", 1, faults=Faults(wait_s=5.0))
-            second = XdsClient(host.desk.address, "same", 2, faults=Faults(wait_s=5.0))
+            first = XdsClient(host.xds_server.address, "same", 1, faults=Faults(wait_s=5.0))
+            second = XdsClient(host.xds_server.address, "same", 2, faults=Faults(wait_s=5.0))
             async with clients(first):
                 await until(lambda: first.writes_to(0))
-                number = host.desk.clients["same"][0].number
+                number = host.xds_server.clients["same"][0].proxy_number
                 async with clients(second):
                     await until(lambda: second.writes_to(0))
-                    assert first.stream is None and len(host.desk.clients) == 1
+                    assert first.stream is None and len(host.xds_server.clients) == 1
                     assert (
-                        host.desk.clients["same"][0].number != number
+                        host.xds_server.clients["same"][0].proxy_number != number
                     )  # the first one's lease may still run
 
     play(test())
@@ -199,12 +199,12 @@
     async def test() -> None:
         one = XdsClient("", "c0", 1)
         async with controller(tmp_path) as host:
-            one.address = host.desk.address
+            one.address = host.xds_server.address
             async with clients(one):
                 await until(lambda: all(one.writes_to(number) for number in range(6)))
         before = dict(one.endpoints)
         async with controller(tmp_path) as host:
-            one.address = host.desk.address
+            one.address = host.xds_server.address
             async with clients(one):
                 await until(lambda: one.writes_to(0))
                 assert one.endpoints == before  # the store's table is kept
@@ -216,7 +216,9 @@
 def test_thousands_at_once_are_let_in_one_after_the_other(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path, rate=40) as host:
-            many = [XdsClient(host.desk.address, f"c{n}", n, faults=Faults(wait_s=0.3)) for n in range(120)]
+            many = [
+                XdsClient(host.xds_server.address, f"c{n}", n, faults=Faults(wait_s=0.3)) for n in range(120)
+            ]
             async with clients(*many):
                 await until(lambda: all(one.reads_from(0) for one in many), 20)
                 assert host.counters["xds.refused"] > 0
@@ -230,10 +232,10 @@
 def test_junk_on_the_port_costs_its_connection(tmp_path: Path, junk: bytes) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.desk.address, "c0", 1)
+            one = XdsClient(host.xds_server.address, "c0", 1)
             async with clients(one):
                 await until(lambda: one.writes_to(0))
-                reader, writer = await asyncio.open_connection(*host.desk.address.split(":"))
+                reader, writer = await asyncio.open_connection(*host.xds_server.address.split(":"))
                 writer.write(junk)
                 await asyncio.wait_for(reader.read(), 5)
                 writer.close()
@@ -280,7 +282,7 @@
         async with controller(tmp_path) as host:
             await until(lambda: host.store.owners().get(0))
             name, count, node = await asyncio.get_running_loop().run_in_executor(
-                None, read, host.desk.address
+                None, read, host.xds_server.address
             )
             assert (name, count) == ("0.r", 2) and node == host.store.owners()[0]
 
@@ -301,7 +303,7 @@
                 tell(event)
 
             host.tell = listen  # type: ignore[method-assign]
-            name, port = host.desk.address.split(":")
+            name, port = host.xds_server.address.split(":")
             channel = Channel(name, int(port))
             path = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
             method: Any = StreamStreamMethod(
@@ -356,7 +358,7 @@
         from envoy.service.discovery.v3 import discovery_pb2
         from grpclib.client import StreamStreamMethod
 
-        port = int(host.desk.address.rpartition(":")[2])
+        port = int(host.xds_server.address.rpartition(":")[2])
         channel = Channel("localhost", port, ssl=context)
         method: Any = StreamStreamMethod(
             channel, "/envoy.service.discovery.v3.AggregatedDiscoveryService/DeltaAggregatedResources",
@@ -393,7 +395,7 @@
             drain(host, "READY", tls=tls)
             assert host.counters["host.reloads_refused"] == 1
             third, _ = await hello(host, trusting(other))  # the last good ones serve
-            assert len(host.desk.clients) == 3
+            assert len(host.xds_server.clients) == 3
             for open_one in (channel, second, third):
                 open_one.close()
             del stream
@@ -498,10 +500,10 @@
         client = SimpleNamespace(
             name="c0", faults=drops.Faults(), frozen=True, reads_from=lambda number: "n2"
         )
-        standing = SimpleNamespace(watches={"lds": SimpleNamespace(out=None)}, begun=begun)
+        standing = SimpleNamespace(watches={"lds": SimpleNamespace(in_flight=None)}, started_at=begun)
         day.clients = [client]
         day.host = SimpleNamespace(
-            desk=SimpleNamespace(clients={"c0": (standing,)}), clock=SimpleNamespace(now=clock_us)
+            xds_server=SimpleNamespace(clients={"c0": (standing,)}), clock=SimpleNamespace(now=clock_us)
         )
         day.checker.drains(clock_us() - 1_200_000, "n2", True)
         day.thaw()
--- a/tests/test_xds_first_message.py
+++ b/tests/test_xds_first_message.py
@@ -19,7 +19,7 @@
 from xds_process import xds_controller
 
 from lapispass.standins.xds_client import ADS, URLS
-from lapispass.xds import desk
+from lapispass.xds import xds_server
 
 
 @asynccontextmanager
@@ -60,7 +60,7 @@
         ):
             running.signal(signal.SIGSTOP)
             await stream.send_message(first_message())
-            await asyncio.sleep(desk.STUCK_S + 0.3)
+            await asyncio.sleep(xds_server.STREAM_TIMEOUT_S + 0.3)
             running.signal(signal.SIGCONT)
             response = await asyncio.wait_for(stream.recv_message(), 3)
             assert response.type_url == URLS["cds"] and len(response.resources) == 12
@@ -73,10 +73,10 @@
 ) -> None:
     # It ended with an unknown status, and a raw trace in the log.
     async def test() -> None:
-        monkeypatch.setattr(desk, "STUCK_S", 0.3)
+        monkeypatch.setattr(xds_server, "STREAM_TIMEOUT_S", 0.3)
         async with controller(tmp_path) as host:
             with pytest.raises(GRPCError) as caught:  # by the read, and again where the stream is left
-                async with opened_stream(host.desk.address) as stream:
+                async with opened_stream(host.xds_server.address) as stream:
                     await asyncio.wait_for(stream.recv_message(), 3)
             assert caught.value.status is Status.DEADLINE_EXCEEDED
 
--- a/tests/test_xds_late_readers.py
+++ b/tests/test_xds_late_readers.py
@@ -44,7 +44,7 @@
     client.drop()
     await until(lambda: client.is_stopped)
     client.drop()
-    await until(lambda: not host.desk.clients)
+    await until(lambda: not host.xds_server.clients)
     drain(host)
 
 
@@ -56,7 +56,7 @@
 
     async def test() -> None:
         async with controller(tmp_path) as host:
-            client = StoppedAtGrant(host.desk.address, "c0", 1)
+            client = StoppedAtGrant(host.xds_server.address, "c0", 1)
             async with clients(client):
                 await stop_at_grant(host, client)
                 await asyncio.sleep(stopped_s)
@@ -82,7 +82,7 @@
 
     async def test() -> None:
         async with controller(tmp_path) as host:
-            client = StoppedAtGrant(host.desk.address, "c0", 1)
+            client = StoppedAtGrant(host.xds_server.address, "c0", 1)
             async with clients(client):
                 await stop_at_grant(host, client)
                 await until(lambda: set(host.store.owners().values()) == {"n1"})
