--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class Step:
+class ClientStep:
     """What follows from a look at a client: responses, and news for the module."""
 
     updates: list[Update] = field(default_factory=list)
@@ -125,9 +125,9 @@
         barriers: deque[tuple[int, int, int]],
         numbers: ProxyNumbers,
         may_write: bool = True,
-    ) -> Step:
+    ) -> ClientStep:
         """What is due now. `marks` are (turn, mark, when), oldest first."""
-        step = Step()
+        step = ClientStep()
         for watch in self.watches.values():
             watch.now = now
         self.update_write_permission(now, may_write, numbers, step)
@@ -160,7 +160,9 @@
             for name in watch.unacked_at:
                 watch.unacked_at[name] += pause_us
 
-    def update_write_permission(self, now: int, may_write: bool, numbers: ProxyNumbers, step: Step) -> None:
+    def update_write_permission(
+        self, now: int, may_write: bool, numbers: ProxyNumbers, step: ClientStep
+    ) -> None:
         """Grants writing where all is acknowledged; ends it where something is not."""
         eds, lds = self.watches.get("eds"), self.watches.get("lds")
         if lds is None or eds is None:
@@ -215,7 +217,7 @@
         elif self.state == "lapsing" and lds.settled and not lds.acked.get(WRITES):
             self.state = "reads"
 
-    def revoke_write_permission(self, now: int, why: str, step: Step) -> None:
+    def revoke_write_permission(self, now: int, why: str, step: ClientStep) -> None:
         """No further renewal. Each time it stays a reader for longer."""
         self.lapses += 1
         self.state = "lapsing"
@@ -223,7 +225,7 @@
         self.probation_until = now + wait
         step.lapse_reason = f"{why}; reads only for {wait} us"
 
-    def leave_proxies(self, now: int, numbers: ProxyNumbers, step: Step) -> None:
+    def leave_proxies(self, now: int, numbers: ProxyNumbers, step: ClientStep) -> None:
         """It counts as gone for the module, which waits a lease from now; its number is not used again
         before."""
         if self.proxy_number is not None:
@@ -237,9 +239,9 @@
                 step.left_delay_us = self.limits.ack_timeout_us
             numbers.release(now + step.left_delay_us, step.left)
 
-    def end(self, now: int, numbers: ProxyNumbers) -> Step:
+    def end(self, now: int, numbers: ProxyNumbers) -> ClientStep:
         """Its stream has ended."""
-        step = Step()
+        step = ClientStep()
         self.leave_proxies(now, numbers, step)
         for watch in self.watches.values():
             watch.end()
@@ -247,7 +249,7 @@
         return step
 
     def acknowledge_barriers(
-        self, now: int, turn: int, barriers: deque[tuple[int, int, int]], step: Step
+        self, now: int, turn: int, barriers: deque[tuple[int, int, int]], step: ClientStep
     ) -> None:
         """Marks whose tables rule at the client: all write tables up to their turn are acknowledged."""
         if self.proxy_number is None:
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -36,7 +36,7 @@
 NEVER_WRITTEN = Record()
 
 
-class Claim(NamedTuple):
+class RecordUpdate(NamedTuple):
     """Write this record, if the slice is still at the revision."""
 
     slice: int
@@ -48,8 +48,8 @@
 class TakeoverActions:
     """What follows from a look."""
 
-    claims: list[Claim]
-    releases: list[Claim]
+    claims: list[RecordUpdate]
+    releases: list[RecordUpdate]
     start: list[int]  # ours now: hand them to the module, with their owner
     stop: list[int]  # not ours any more: take them from the module
     retry_at: int = NEVER
@@ -109,13 +109,13 @@
                     and not is_busy(number)
                 ):
                     released += 1
-                    actions.releases.append(Claim(number, record.revision, record._replace(holder="")))
+                    actions.releases.append(RecordUpdate(number, record.revision, record._replace(holder="")))
             elif wanted_owner == self.controller_name(self.name):
                 claimable_at = self.claimable_at(record, gone_at, alive)
                 if now >= claimable_at:
                     epoch = record.epoch + 1
                     actions.claims.append(
-                        Claim(number, record.revision, record._replace(epoch=epoch, holder=self.name))
+                        RecordUpdate(number, record.revision, record._replace(epoch=epoch, holder=self.name))
                     )
                 else:
                     actions.retry_at = min(actions.retry_at, claimable_at)
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -19,7 +19,7 @@
 from lapispass.core import tables
 from lapispass.core.membership import Members
 from lapispass.core.picture import Picture
-from lapispass.core.takeover import Claim, Record, Takeover
+from lapispass.core.takeover import Record, RecordUpdate, Takeover
 from lapispass.operator.read import Source
 from lapispass.peers import records
 from lapispass.peers.coordination import (
@@ -276,7 +276,7 @@
                 await self.claim([*work.claims, *work.releases])
             await self.answer()
 
-    async def claim(self, claims: list[Claim]) -> None:
+    async def claim(self, claims: list[RecordUpdate]) -> None:
         """Each by itself: one that another was faster at costs only itself."""
         for claim in claims:
             if not self.lease.holds():
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -19,7 +19,7 @@
 
 from lapispass import interface
 from lapispass.core import resources, tables
-from lapispass.core.clients import TTL_FEATURE, Client, ClientLimits, ConnectLimiter, ProxyNumbers, Step
+from lapispass.core.clients import TTL_FEATURE, Client, ClientLimits, ClientStep, ConnectLimiter, ProxyNumbers
 from lapispass.core.picture import Picture
 from lapispass.core.versions import ResourceCache, Update
 from lapispass.net import log
@@ -300,7 +300,7 @@
         """Whether a client may go on writing, or be granted writing where it only reads."""
         return self.may_grant_writes(now) and (client.state != "reads" or self.write_routes.may_grant(client))
 
-    def report_step(self, client: Client, step: Step) -> None:
+    def report_step(self, client: Client, step: ClientStep) -> None:
         """A client's news for the module."""
         if step.lapse_reason:
             self.counters["xds.lapsed"] += 1
