--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -1,11 +1,12 @@
-"""xDS clients: who is let in, who may write, whose answer a mark waits for, and when a client counts as gone.
-
-Every client may read. To write is granted last, and by a lease: the write listener has a time to live,
-which is renewed only while the client acknowledges what it is sent. From the moment that listener is
-offered until the client has answered its removal, or a lease after the last renewal could have been sent,
-the client is a proxy to the deciding module, whose marks wait for it. So a client that acknowledges nothing
-never holds up a handover for longer than `late_us` and one lease, and one without times to live holds up
-none, since it gets no write listener: the named lesser mode 'reads only'.
+"""xDS clients: which may connect, which may write, which barriers wait for them, and when they count as gone.
+
+Every client may read. Permission to write is granted last, and as a lease: the write listener has a time to
+live, which is renewed only while the client acknowledges what it is sent. The controller counts the client
+as a proxy, whose acknowledgement barriers wait for, from the moment that the listener is offered. It does so
+until the client has answered the listener's removal, or until a lease has passed since the last renewal
+could have been sent. So a client that acknowledges nothing never delays a handover for longer than
+`ack_timeout_us` and one lease. A client that does not support times to live gets no write listener, so it
+delays none; it works in the degraded mode 'reads only'.
 """
 
 from __future__ import annotations
@@ -20,29 +21,30 @@
 from lapispass.core.versions import KINDS, ResourceCache, Update, Watch
 
 READS = "reads"
-WRITES = "writes"  # the listener by which writes are let through
+WRITES = "writes"  # the listener that admits writes, and its routes
 TTL_FEATURE = "xds.config.supports-resource-ttl"
 
 
 class ClientLimits(NamedTuple):
-    """Bounds on clients; times in us."""
+    """Limits for clients; times in us."""
 
     lease_us: int
-    ack_timeout_us: int = 2 * SECOND  # an update not acknowledged for so long ends the right to write
+    # An update that is unacknowledged for longer than this ends the permission to write.
+    ack_timeout_us: int = 2 * SECOND
     max_clients: int = 5_000
-    max_names: int = 50_000  # one client may ask for
+    max_names: int = 50_000  # names that one client may subscribe to
     max_response_resources: int = 5_000  # resources in one response
     max_probation_us: int = 60 * SECOND
-    max_nacks: int = 3  # of one kind in a row, before the right to write ends
+    max_nacks: int = 3  # rejections of one kind in a row that end the permission to write
 
     @property
     def ttl_us(self) -> int:
-        """Told to clients: less than the lease by what a message may take on its way."""
+        """The time to live that clients are sent: the lease less the time that a message may be delayed."""
         return self.lease_us * 3 // 4
 
     @property
     def delivery_margin_us(self) -> int:
-        """What a message may take on its way to a client, and to be read there."""
+        """How long a message may take until the client has received and read it."""
         return self.lease_us - self.ttl_us
 
     @property
@@ -51,11 +53,14 @@
 
 
 class ProxyNumbers:
-    """Proxy numbers for the module. One that a client has left is free again only after its lease."""
+    """Allocates the numbers under which the controller counts clients as proxies.
+
+    A released number is allocated again only after a lease.
+    """
 
     def __init__(self, first: int, lease_us: int) -> None:
         self.next_number, self.lease_us = first, lease_us
-        self.released: list[tuple[int, int]] = []  # (when, number), in order
+        self.released: list[tuple[int, int]] = []  # (time of release, number), sorted
 
     def allocate(self, now: int) -> int:
         if self.released and self.released[0][0] + self.lease_us < now:
@@ -69,14 +74,15 @@
 
 @dataclass
 class ClientStep:
-    """What follows from a look at a client: responses, and news for the module."""
+    """What is to be done for a client: responses to it, and events for the controller."""
 
     updates: list[Update] = field(default_factory=list)
-    joined: int | None = None
-    left: int | None = None
-    left_acked_turn: int = 0  # the turn up to which it was shown to have the tables
-    left_delay_us: int = 0  # the module is told so much later
-    acked_barriers: list[tuple[int, int, int]] = field(default_factory=list)  # proxy, mark, took us
+    joined: int | None = None  # the number of the proxy that joins
+    left: int | None = None  # the number of the proxy that leaves
+    left_acked_turn: int = 0  # the last turn that the leaving proxy is known to have applied
+    left_delay_us: int = 0  # the controller is notified of the leave after this delay
+    # (proxy number, barrier, time until the acknowledgement in us)
+    acked_barriers: list[tuple[int, int, int]] = field(default_factory=list)
     lapse_reason: str = ""
 
 
@@ -98,15 +104,16 @@
         self.cache, self.started_at = cache, now
         self.watches: dict[str, Watch] = {}
         self.state = "reads"  # reads, writes, lapsing (the listener's removal is not answered yet)
-        self.proxy_number: int | None = None  # as a proxy of the module
-        self.acked_turn = -1  # the last turn that it was shown to have applied
+        self.proxy_number: int | None = None  # set while the controller counts the client as a proxy
+        self.acked_turn = -1  # the last turn whose barrier the client has acknowledged
         self.renewed_at = 0
         self.probation_until = probation_until
-        self.lapses = 0
+        self.lapses = 0  # how often the permission to write has been revoked
 
-    # what it asks for
+    # subscriptions
 
     def watch(self, kind: str) -> Watch:
+        """The watch of a kind, which is created with the first request for it."""
         if kind not in self.watches:
             self.watches[kind] = Watch(kind, self.is_sotw, self.cache)
             if kind == "lds":
@@ -114,9 +121,10 @@
         return self.watches[kind]
 
     def subscribed_names(self) -> int:
+        """How many names the client subscribes to, over all kinds."""
         return sum(len(watch.names or ()) for watch in self.watches.values())
 
-    # what it is sent
+    # sending
 
     def advance(
         self,
@@ -126,7 +134,7 @@
         numbers: ProxyNumbers,
         may_write: bool = True,
     ) -> ClientStep:
-        """What is due now. `marks` are (turn, mark, when), oldest first."""
+        """What is due now. `barriers` are (turn, barrier, time of issue), oldest first."""
         step = ClientStep()
         for watch in self.watches.values():
             watch.now = now
@@ -135,8 +143,8 @@
             if kind not in self.watches:
                 continue
             watch = self.watches[kind]
-            # Make before break: what is new goes out in the order of kinds, each when the one before has been
-            # acknowledged; what is removed waits until those that may point to it are.
+            # Make before break: additions are sent in the order of kinds, each once the kinds before it are
+            # acknowledged. Clusters are removed once the kinds that may refer to them are acknowledged.
             before = [self.watches[k] for k in KINDS[:index] if k in self.watches]
             behind = [self.watches[k] for k in KINDS[index + 1 :] if k in self.watches]
             if kind in ("lds", "rds") and not watch.sent and not all(other.settled for other in before):
@@ -154,7 +162,7 @@
         return step
 
     def exclude_pause(self, pause_us: int) -> None:
-        """The controller itself did: its clients are not blamed for what they could not be heard to say."""
+        """Leaves a pause of this process out of all time-outs, since no answer could be read during it."""
         for watch in self.watches.values():
             watch.sent_at += pause_us
             for name in watch.unacked_at:
@@ -163,15 +171,16 @@
     def update_write_permission(
         self, now: int, may_write: bool, numbers: ProxyNumbers, step: ClientStep
     ) -> None:
-        """Grants writing where all is acknowledged; ends it where something is not."""
+        """Grants permission to write once everything is acknowledged; revokes it if something is not."""
         eds, lds = self.watches.get("eds"), self.watches.get("lds")
         if lds is None or eds is None:
             return
         if not may_write:
-            # Guards rule 2: a controller that may have been followed already shows what it has, for reading
-            # only.
+            # A controller whose session has ended may have a successor already, which may have assigned its
+            # slices to new owners. Writes that follow its old tables would break rule 2 (one writer per
+            # slice), so its clients may only read.
             if self.state == "writes":
-                self.state, step.lapse_reason = "lapsing", "the controller's own session has ended"
+                self.state, step.lapse_reason = "lapsing", "the session of this controller has ended"
                 self.leave_proxies(now, numbers, step)
                 lds.hide(WRITES)
             return
@@ -183,14 +192,14 @@
             ):
                 lds.change_subscription(
                     [READS], []
-                )  # sent once more, to see whether it reads promptly by now
-            # How late it reads is known from the listeners it has acknowledged: no right for who reads late.
+                )  # sent again, to measure whether the client reads promptly by now
+            # The answer time of a listener shows how late the client reads; a late reader may not write.
             prompt = (
                 lds.settled and READS in lds.acked and lds.answer_time_us <= self.limits.delivery_margin_us
             )
-            proven = eds.sent and eds.settled and eds.unacked_since == NEVER
+            acked = eds.sent and eds.settled and eds.unacked_since == NEVER
             offered = lds.wants(WRITES) and WRITES in self.cache.by_kind["lds"]
-            if self.has_ttl and prompt and proven and offered and now >= self.probation_until:
+            if self.has_ttl and prompt and acked and offered and now >= self.probation_until:
                 self.state, self.renewed_at = "writes", now
                 self.proxy_number = step.joined = numbers.allocate(now)
                 self.acked_turn = -1
@@ -199,17 +208,17 @@
             late = min(eds.unacked_since, lds.sent_at if lds.in_flight is not None else NEVER)
             why = ""
             if now - late > self.limits.ack_timeout_us:
-                why = "acknowledges nothing"
+                why = "does not acknowledge updates"
             elif max(eds.nacks, lds.nacks) >= self.limits.max_nacks:
-                why = "turns the same down again and again"
+                why = "rejects several responses in a row"
             elif lds.answer_time_us > self.limits.delivery_margin_us:
-                # Guards rule 2: its time to live counts from when it reads a renewal. One that reads late
-                # may hold the last one longer than the lease, which the module counts from the end of its
-                # stream.
-                why = f"answers a renewal after {lds.answer_time_us} us"
+                # The time to live starts when the client reads a renewal. A client that reads late may hold
+                # its last renewal for longer than the lease, which the controller counts from the end of the
+                # stream. It could then still write while a slice has a new owner, against rule 2.
+                why = f"answered a renewal after {lds.answer_time_us} us"
                 lds.answer_time_us = 0
             elif lds.nacked.get(WRITES):
-                why = "turns the write listener down"
+                why = "rejects the write listener"
             if why:
                 self.revoke_write_permission(now, why, step)
                 self.leave_proxies(now, numbers, step)
@@ -218,16 +227,18 @@
             self.state = "reads"
 
     def revoke_write_permission(self, now: int, why: str, step: ClientStep) -> None:
-        """No further renewal. Each time it stays a reader for longer."""
+        """Ends renewals, and puts the client on probation, each time for longer."""
         self.lapses += 1
         self.state = "lapsing"
         wait = min(self.limits.max_probation_us, self.limits.lease_us * 2 ** min(self.lapses, 10))
         self.probation_until = now + wait
-        step.lapse_reason = f"{why}; reads only for {wait} us"
+        step.lapse_reason = f"{why}; may only read for {wait} us"
 
     def leave_proxies(self, now: int, numbers: ProxyNumbers, step: ClientStep) -> None:
-        """It counts as gone for the module, which waits a lease from now; its number is not used again
-        before."""
+        """Reports the client as gone to the controller, which waits for a lease from then on.
+
+        Its number is not allocated again before that.
+        """
         if self.proxy_number is not None:
             step.left, self.proxy_number = self.proxy_number, None
             step.left_acked_turn = (
@@ -235,12 +246,13 @@
             )
             lds = self.watches.get("lds")
             if lds is not None and lds.in_flight is not None and WRITES in lds.in_flight.resources:
-                # Guards rule 2: it may read this renewal later than any before, and its time runs from then.
+                # The client may read the renewal in flight later than any before, and its time to live starts
+                # then. It must have expired before a slice gets a new owner, by rule 2.
                 step.left_delay_us = self.limits.ack_timeout_us
             numbers.release(now + step.left_delay_us, step.left)
 
     def end(self, now: int, numbers: ProxyNumbers) -> ClientStep:
-        """Its stream has ended."""
+        """Handles the end of the client's stream."""
         step = ClientStep()
         self.leave_proxies(now, numbers, step)
         for watch in self.watches.values():
@@ -251,36 +263,39 @@
     def acknowledge_barriers(
         self, now: int, turn: int, barriers: deque[tuple[int, int, int]], step: ClientStep
     ) -> None:
-        """Marks whose tables rule at the client: all write tables up to their turn are acknowledged."""
+        """Acknowledges the last barrier up to whose turn the client has acknowledged all write resources."""
         if self.proxy_number is None:
             return
         eds = self.watches["eds"]
-        proven = min(turn, eds.acked_turn)
-        if proven <= self.acked_turn:
+        acked = min(turn, eds.acked_turn)
+        if acked <= self.acked_turn:
             return
         last = next(
             (
                 (at, barrier, when)
                 for at, barrier, when in reversed(barriers)
-                if self.acked_turn < at <= proven
+                if self.acked_turn < at <= acked
             ),
             None,
         )
-        self.acked_turn = proven
+        self.acked_turn = acked
         if last is not None:
             step.acked_barriers.append((self.proxy_number, last[1], max(0, now - last[2])))
 
 
 class ConnectLimiter:
-    """Who is let in: thousands may come back at once. What is refused is told when to come."""
+    """Limits how fast clients may connect, since thousands may reconnect at once.
+
+    A rejected client is told when to come back.
+    """
 
     def __init__(self, clients: int, per_s: float, burst: int, seed: int) -> None:
         self.max_clients, self.rate = clients, Rate(per_s, burst)
         self.returns = Returns(per_s, SECOND // 10, 30 * SECOND, seed)
 
-    def delay_us(self, now: int, inside: int) -> int:
-        """0 for whoever may come in; else when to come back, us from now."""
-        if inside >= self.max_clients:
+    def delay_us(self, now: int, connected: int) -> int:
+        """0 if another client may connect now; otherwise the time in us after which to try again."""
+        if connected >= self.max_clients:
             return max(SECOND, self.returns.delay_us(now))
         if wait := self.rate.wait_us(now):
             return max(wait, self.returns.delay_us(now))
--- a/lapispass/core/resources.py
+++ b/lapispass/core/resources.py
@@ -1,10 +1,13 @@
-"""What xDS clients are shown of a table: clusters, assignments, routes and listeners, as plain values.
+"""The slice table as xDS resources: clusters, assignments, routes and listeners, as plain values.
 
-A slice has two assignments, one for reads and one for writes, so that writes can be shut alone. The empty
-step is an assignment without endpoints. The share let in is a drop rate, which clients obey
-(`drop_overloads`). Reads may be tried again as the module says; a route of writes never has a retry policy.
-Two listeners: only the one for writes has a time to live, so that a client that hears nothing stops writing
-and goes on reading.
+A slice has two assignments, one for reads and one for writes, so that writes can be blocked alone. Between
+two owners a slice has an assignment without endpoints. The admitted share is expressed as a drop rate, which
+clients apply themselves (`drop_overloads`). Reads may be retried as often as the deployment allows; a write
+route never has a retry policy. There are two listeners. Only the one for writes has a time to live, so a
+client that loses contact with the controller stops writing and keeps reading.
+
+The types' `repr()` is hashed into version strings that clients compare, so their names and fields must not
+change.
 """
 
 from __future__ import annotations
@@ -23,7 +26,7 @@
 
 
 class Assignment(NamedTuple):
-    """EDS: where visits of a slice go; of a hundred so many thousandths are dropped."""
+    """EDS: the endpoints of a slice, and how many of a million requests are dropped."""
 
     name: str
     endpoints: tuple[Endpoint, ...]
@@ -31,15 +34,17 @@
 
 
 class Cluster(NamedTuple):
-    """CDS: its assignment has the same name."""
+    """CDS: a cluster; its assignment has the same name."""
 
     name: str
     connect_timeout_us: int
 
 
 class Routes(NamedTuple):
-    """RDS: slice N, told by a header, goes to cluster `N.r` or `N.w`; tries is how often a read may be
-    tried."""
+    """RDS: routes slice N, which is named in a request header, to cluster `N.r` or `N.w`.
+
+    A read may be sent `tries` times in all.
+    """
 
     name: str
     slices: int
@@ -48,7 +53,7 @@
 
 
 class Listener(NamedTuple):
-    """LDS; a time to live of 0 is none."""
+    """LDS: a listener; `ttl_us` 0 means that it does not expire."""
 
     name: str
     routes: str
@@ -60,7 +65,7 @@
 
 
 def put_static_resources(cache: ResourceCache, slices: int, tries: int, ttl_us: int) -> None:
-    """What does not change with turns."""
+    """Publishes everything that turns do not change, and empty assignments for all slices."""
     for number in range(slices):
         for writes in (False, True):
             name = cluster_name(number, writes)
@@ -73,32 +78,36 @@
 
 
 def update_assignments(
-    cache: ResourceCache, tables_now: tables.Tables, changes: list[tables.Change], turn: int
+    cache: ResourceCache, current: tables.Tables, changes: list[tables.Change], turn: int
 ) -> int:
-    """Sets the assignments that a turn's changes concern; how many are new."""
+    """Publishes the assignments that a turn's changes affect; returns how many have new content."""
     numbers: set[int] = set()
     for change in changes:
         match change:
             case tables.SetLine(number, _) | tables.SetShare(number, _, _):
                 numbers.add(number)
             case tables.SetOut(node, _) | tables.SetNode(node, _):
-                numbers |= {number for number, owner in tables_now.owners.items() if owner == node}
+                numbers |= {number for number, owner in current.owners.items() if owner == node}
             case _:
                 pass
     return sum(
-        cache.put("eds", cluster_name(number, writes), assignment(tables_now, number, writes), turn, writes)
+        cache.put("eds", cluster_name(number, writes), assignment(current, number, writes), turn, writes)
         for number in sorted(numbers)
         for writes in (False, True)
     )
 
 
-def assignment(tables_now: tables.Tables, number: int, writes: bool) -> Assignment:
-    """A slice's owner, or nobody: while it is bare, its owner is shut out, or its writes are shut."""
-    share = tables_now.shares.get(number, tables.OPEN)
-    owner = tables_now.owner(number)
-    where = tables_now.nodes.get(owner) if owner is not None else None
+def assignment(current: tables.Tables, number: int, writes: bool) -> Assignment:
+    """The assignment of a slice's owner.
+
+    It has no endpoints while the slice has no owner, its owner is withdrawn or has no address, or its writes
+    are blocked.
+    """
+    share = current.shares.get(number, tables.OPEN)
+    owner = current.owner(number)
+    address = current.nodes.get(owner) if owner is not None else None
     shut = writes and share.shut
     endpoints = (
-        () if owner is None or where is None or shut else (Endpoint(owner, where.address, where.zone),)
+        () if owner is None or address is None or shut else (Endpoint(owner, address.address, address.zone),)
     )
     return Assignment(cluster_name(number, writes), endpoints, round(1_000_000 * (1 - min(1.0, share.share))))
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -1,15 +1,16 @@
-"""Slices under epochs: who may act on one, when it is taken, and when it is let go.
+"""How controllers divide the slices: which may act on a slice, and when it is claimed and released.
 
-The truth is the service's record of a slice: its epoch only rises, and each change is a compare-and-swap on
-what was last read. A controller acts on a slice only between its own claim (or the claim it reads back
-after an answer was lost) and the end of its session. It claims one that
+The record of a slice in the coordination service decides. Its epoch only rises, and each change is a
+compare-and-swap on the revision that was last read. A controller acts on a slice only between its own claim
+(or a claim that it reads back after the answer was lost) and the end of its session. It claims a slice
 
-- nobody holds: at once (its last holder has let it go, and published nothing since); - a dead one holds,
-`linger_us` after the service said that its lease had ended: by then the dead one has stopped by its own
-  clock (`membership.py`), and what it had handed to the network has arrived or is gone;
+- at once if nobody holds it: the last holder has released it, and has published nothing since;
+- if a dead controller holds it, `linger_us` after the service reported the end of that controller's lease.
+  By then the dead controller has stopped by its own clock (`membership.py`), and what it had handed to the
+  network has arrived or is lost.
 
-and lets one go that another should hold, when no handover of its own is under way there. At most `most` are
-let go at a time, so that a newcomer does not stop the fleet.
+It releases a slice that another controller should hold, once no handover of its own is under way there. At
+most `max_releases` are released at a time, so that a new controller does not stop the whole fleet.
 """
 
 from __future__ import annotations
@@ -23,10 +24,13 @@
 
 
 class Record(NamedTuple):
-    """A slice in the service. `revision` is that of its last change; 0 where it has never been written."""
+    """The record of a slice in the service.
+
+    `revision` is that of its last change; 0 if it has never been written.
+    """
 
     epoch: int = 0
-    holder: str = ""  # controller and boot; nobody: it was let go
+    holder: str = ""  # `controller/boot`; empty if it was released
     owner: str | None = None
     share: float = 1.0
     shut: bool = False
@@ -37,7 +41,7 @@
 
 
 class RecordUpdate(NamedTuple):
-    """Write this record, if the slice is still at the revision."""
+    """A record to be written if the slice's record is still at this revision."""
 
     slice: int
     revision: int
@@ -46,17 +50,17 @@
 
 @dataclass
 class TakeoverActions:
-    """What follows from a look."""
+    """What an evaluation found to do."""
 
     claims: list[RecordUpdate]
     releases: list[RecordUpdate]
-    start: list[int]  # ours now: hand them to the module, with their owner
-    stop: list[int]  # not ours any more: take them from the module
-    retry_at: int = NEVER
+    start: list[int]  # newly held slices, to be given to the controller with their owner
+    stop: list[int]  # slices that are no longer held, to be taken from the controller
+    retry_at: int = NEVER  # when the next slice becomes claimable
 
 
 class Takeover:
-    """One controller's view of all slices."""
+    """One controller's view of the records of all slices."""
 
     def __init__(self, slices: int, name: str, linger_us: int, max_releases: int = 64) -> None:
         self.slices, self.name, self.linger_us, self.max_releases = slices, name, linger_us, max_releases
@@ -64,7 +68,7 @@
         self.acting: set[int] = set()
 
     def received(self, number: int, record: Record) -> None:
-        """A record as the service has it now; an older one than known is passed over."""
+        """Stores a record read from the service, unless a newer one is known."""
         if record.revision >= self.records.get(number, NEVER_WRITTEN).revision:
             self.records[number] = record
 
@@ -77,9 +81,11 @@
         is_busy: Callable[[int], bool],
         is_leaving: bool = False,
     ) -> TakeoverActions:
-        """`members` are alive by name; `gone_at` tells since when holders (name/boot) are known to be dead.
+        """Compares the records with how the slices should be divided.
 
-        Without a session nothing is ours: all stops at once, and nothing is claimed or let go.
+        `members` are the weights of the live controllers by name. `gone_at` is the time since when each dead
+        holder (`name/boot`) is known to be dead. Without a session the controller holds nothing: it stops
+        acting on all slices at once, and claims and releases none.
         """
         actions = TakeoverActions([], [], [], [])
         if not has_session:
@@ -122,7 +128,7 @@
         return actions
 
     def claimable_at(self, record: Record, gone_at: Mapping[str, int], alive: Collection[str]) -> int:
-        """From when on a slice may be claimed; `NEVER` while its holder is alive and has not let it go."""
+        """When a slice may be claimed; `NEVER` while a live controller holds it."""
         if not record.holder:
             return 0
         if record.holder in gone_at:
@@ -130,15 +136,15 @@
         return NEVER
 
     def unseen_dead_holders(self, alive: Collection[str], gone_at: Mapping[str, int]) -> set[str]:
-        """Holders (name/boot) of which nothing is alive, and whose end was never seen: it came before we did.
+        """Holders (`name/boot`) that are dead and whose end was not seen, as it came before this start.
 
-        A life's key is made before its first claim, and all is told in the order of revisions: so who holds
-        a slice and has no key has had one, and its lease has ended.
+        An incarnation writes its key before its first claim, and all changes are received in the order of
+        revisions. So a holder of a slice that has no key has had one, and its lease has ended.
         """
         holders = {record.holder for record in self.records.values() if record.holder}
         return holders - set(alive) - gone_at.keys()
 
     @staticmethod
     def controller_name(holder: str) -> str:
-        """A holder's name without its boot."""
+        """The name of a holder without its boot."""
         return holder.partition("/")[0]
--- a/lapispass/core/versions.py
+++ b/lapispass/core/versions.py
@@ -1,11 +1,12 @@
-"""Resources in versions, and each client's truth: the table it last acknowledged, or may have applied since.
+"""Versioned resources, and what each client has acknowledged of them or may have applied since.
 
-A version is a fingerprint of the content, so a client that comes back to a restarted controller is sent
-only what has changed. Which update an acknowledgement means is told by its nonce alone: the same content
-may come twice.
+A version is a fingerprint of the content, so a client that reconnects to a restarted controller is sent only
+what has changed. An acknowledgement is matched to its response by the nonce alone, because the same content
+may be sent twice.
 
-At most one response of a kind is on its way to a client; what changes meanwhile is put together for the
-next one. So the queue of a stream is bounded by what exists, and a slow client costs only itself.
+At most one response of a kind is in flight to a client. Changes that happen meanwhile are merged into the
+next response. So the queue of a stream is bounded by the number of resources, and a slow client delays only
+itself.
 """
 
 from __future__ import annotations
@@ -23,36 +24,36 @@
     "eds",
     "lds",
     "rds",
-)  # the order in which what is new is sent; what is removed goes the other way
+)  # the order in which additions are sent; removals are sent in the opposite order
 FULL_STATE_KINDS = (
     "cds",
     "lds",
-)  # of these a state-of-the-world response always has all, so that what is missing is removed
+)  # a state-of-the-world response contains all resources of these kinds; clients remove any others
 
 
 class VersionedResource(NamedTuple):
-    """A resource as it stands: its version, the turn that made it, and its content."""
+    """A resource as it is published: its version, the turn that changed it last, and its content."""
 
     version: str
     turn: int
     body: Any
-    writes: bool = False  # a table by which writes go
+    writes: bool = False  # whether writes are routed by it
 
 
 def fingerprint(body: object) -> str:
-    """Of a value made of tuples, words and numbers."""
+    """The version string of a value that is made of tuples, strings and numbers."""
     return xxhash.xxh3_64_hexdigest(repr(body).encode())
 
 
 class ResourceCache:
-    """What is offered to clients, by kind and name."""
+    """The resources that are offered to clients, by kind and name."""
 
     def __init__(self) -> None:
         self.by_kind: dict[str, dict[str, VersionedResource]] = {kind: {} for kind in KINDS}
         self.open_watches: set[Watch] = set()
 
     def put(self, kind: str, name: str, body: object, turn: int, writes: bool = False) -> bool:
-        """Sets a resource; False where it stands so already."""
+        """Sets a resource and marks it for sending; False if its content has not changed."""
         version = fingerprint(body)
         old = self.by_kind[kind].get(name)
         if old is not None and old.version == version:
@@ -74,60 +75,65 @@
 
 
 class Update(NamedTuple):
-    """A response to be sent: its nonce, what stands, and names that are no more."""
+    """A response to be sent: its nonce, the resources, and the names of removed ones."""
 
     kind: str
     nonce: str
     resources: dict[str, VersionedResource]
     removed: tuple[str, ...]
-    is_renewal: bool = False  # renews a lease: names and versions without content
+    is_renewal: bool = False  # extends a time to live: names and versions without content
 
 
 class AnswerResult(NamedTuple):
-    """What a client's message about a kind meant."""
+    """What a client's answer to a response meant, and the names of the resources in that response."""
 
-    outcome: str  # 'acknowledged', 'refused', 'stale' or 'asked'
+    outcome: str  # 'acknowledged', 'refused' or 'stale'
     names: tuple[str, ...] = ()
 
 
 @dataclass(eq=False)
 class Watch:
-    """What one stream has of one kind. `hidden` names are not offered to it (a reader's write listener)."""
+    """The state of one stream's subscription to one kind of resource.
+
+    Names in `hidden` are not offered to it, such as the write listener to a client that may only read.
+    """
 
     kind: str
-    is_sotw: bool  # state of the world; else incremental
+    is_sotw: bool  # the state-of-the-world protocol; otherwise the incremental one
     cache: ResourceCache
-    names: set[str] | None = None  # none: all of them
-    sent: dict[str, str] = field(default_factory=dict)  # name: version last sent, "" for a removal
-    acked: dict[str, str] = field(default_factory=dict)  # name: version acknowledged
-    dirty: set[str] = field(default_factory=set)
-    in_flight: Update | None = None  # not answered yet
-    sent_at: int = 0
-    answer_time_us: int = 0  # until the last response was answered
-    nacked: dict[str, str] = field(default_factory=dict)  # name: version it has turned down
+    names: set[str] | None = None  # the names subscribed to; None: all
+    sent: dict[str, str] = field(default_factory=dict)  # version last sent by name, "" for a removal
+    acked: dict[str, str] = field(default_factory=dict)  # version acknowledged, by name
+    dirty: set[str] = field(default_factory=set)  # names that may have to be sent
+    in_flight: Update | None = None  # the response that the client has not answered yet
+    sent_at: int = 0  # when the last response was sent
+    answer_time_us: int = 0  # from sending the last answered response to its answer
+    nacked: dict[str, str] = field(default_factory=dict)  # version last rejected, by name
     hidden: set[str] = field(default_factory=set)
-    unacked_turns: dict[str, int] = field(
-        default_factory=dict
-    )  # write tables: the first turn it may not have applied
-    unacked_at: dict[str, int] = field(default_factory=dict)  # ... and since when
+    # Resources for writes whose current version is not acknowledged, by name: the first turn that the client
+    # may not have applied, and the time since when.
+    unacked_turns: dict[str, int] = field(default_factory=dict)
+    unacked_at: dict[str, int] = field(default_factory=dict)
     last_nonce: int = 0
-    nacks: int = 0
+    nacks: int = 0  # rejected responses in a row
     now: int = 0
 
-    # interest
+    # subscription
 
     def wants(self, name: str) -> bool:
         return self.names is None or name in self.names
 
     def begin(self, names: Collection[str] | None, held: Mapping[str, str]) -> None:
-        """The first message about this kind: what is wanted (none: all), and what is held from an earlier
-        stream."""
-        # What it holds of ours it may write by, whether it says that it wants it or not.
+        """Handles the first message about this kind.
+
+        `names` are those subscribed to (None: all), `held` the versions kept from an earlier stream.
+        """
+        # The client may write by any resource that it still holds, whether it subscribes to it or not.
         self.names = None if names is None else set(names) | held.keys()
         self.cache.open_watches.add(self)
         for name, version in held.items():
             if name in self.hidden:
-                continue  # it runs out there by itself; what is granted anew is sent whole, never renewed
+                continue  # it expires at the client; a new grant is sent in full, not as a renewal
             self.sent[name] = self.acked[name] = version
         offered = self.cache.by_kind[self.kind]
         for name in offered.keys() | held.keys() | (self.names or set()):
@@ -137,7 +143,7 @@
                     self.mark_changed(name, item.turn if item else 0, bool(item and item.writes))
 
     def change_subscription(self, added: Iterable[str], removed: Iterable[str]) -> None:
-        """A change of interest. One asked for again is sent again, as the specification has it."""
+        """Adds and removes names. A name that is subscribed to again is sent again, as xDS specifies."""
         for name in removed:
             if name == "*" and self.names is None:
                 self.names = set(self.sent)
@@ -159,25 +165,30 @@
             self.mark_changed(name, item.turn if item else 0, bool(item and item.writes))
 
     def replace_subscription(self, names: Collection[str]) -> None:
-        """State of the world: exactly these are wanted from now on."""
-        now = set(names)
+        """Subscribes to exactly these names, as a state-of-the-world request does."""
+        wanted = set(names)
         before = self.names if self.names is not None else set(self.sent)
-        self.change_subscription(sorted(now - before), sorted(before - now))
-        self.names = now
+        self.change_subscription(sorted(wanted - before), sorted(before - wanted))
+        self.names = wanted
 
     def mark_changed(self, name: str, turn: int, writes: bool) -> None:
-        """Something is to be sent. A write table that may still be the old one counts from its first change
-        on."""
+        """Marks a resource for sending.
+
+        One that writes are routed by counts as unacknowledged from the first change that the client may not
+        have applied.
+        """
         self.dirty.add(name)
         if writes and name not in self.unacked_turns:
             self.unacked_turns[name], self.unacked_at[name] = turn, self.now
 
     def show(self, name: str) -> None:
+        """Offers a resource that was hidden."""
         if name in self.hidden:
             self.hidden.discard(name)
             self.dirty.add(name)
 
     def hide(self, name: str) -> None:
+        """Stops offering a resource, so that the client removes it."""
         if name not in self.hidden:
             self.hidden.add(name)
             self.dirty.add(name)
@@ -185,9 +196,9 @@
     # sending
 
     def next_update(self, now: int, max_resources: int, may_remove: bool = True) -> Update | None:
-        """The next response, if one is due and none is on its way; `most` resources at the most.
+        """The next response, with at most `max_resources`; None if nothing is due or one is in flight.
 
-        Removals wait where `may_remove` is false: nothing may point to them any more when they go.
+        Removals are held back while `may_remove` is false, because other resources may still refer to them.
         """
         self.now = now
         if self.in_flight is not None or not self.dirty:
@@ -206,14 +217,14 @@
                     items[name] = item
                 elif (
                     self.acked.get(name) == item.version
-                ):  # it has changed there and back: nothing is missing
+                ):  # it has changed and changed back: the client holds this version already
                     self.unacked_turns.pop(name, None)
                     self.unacked_at.pop(name, None)
                 done.append(name)
             elif last or (
                 last is None and self.names is not None and name in self.names and not self.is_sotw
             ):
-                if may_remove:  # also: one that was asked for and does not exist
+                if may_remove:  # also reports a name that was subscribed to and does not exist
                     removed.append(name)
                     done.append(name)
             else:
@@ -228,13 +239,16 @@
         return self._send(Update(self.kind, self._nonce(), items, tuple(removed)), now)
 
     def renew(self, name: str, now: int) -> Update | None:
-        """A renewal of a resource's time to live; none while anything of the kind is on its way."""
+        """A response that renews a resource's time to live.
+
+        None while a response of this kind is in flight, or if the client does not hold the current version.
+        """
         item = self.cache.by_kind[self.kind].get(name)
         if self.in_flight is not None or item is None or self.acked.get(name) != item.version:
             return None
         items = {name: item}
-        if self.is_sotw and self.kind in FULL_STATE_KINDS:  # what it leaves out would count as removed
-            items = {other: one for other, one in self.cache.by_kind[self.kind].items()
+        if self.is_sotw and self.kind in FULL_STATE_KINDS:  # the client would remove any that is left out
+            items = {other: resource for other, resource in self.cache.by_kind[self.kind].items()
                      if self.wants(other) and other not in self.hidden}  # fmt: skip
         return self._send(Update(self.kind, self._nonce(), items, (), True), now)
 
@@ -253,11 +267,12 @@
     # answers
 
     def handle_answer(self, nonce: str, is_nack: bool, now: int) -> AnswerResult:
-        """An acknowledgement, or its opposite. One with another nonce than the last sent is stale, and
-        means nothing.
+        """Handles an acknowledgement (ACK) or a rejection (NACK).
+
+        An answer with another nonce than that of the response in flight is stale and has no effect.
 
-        Turned down, a response may still have been applied in part: what it had stays 'may have applied',
-        and what was before stays possible too. The same version is not sent again; a further one is.
+        A rejected response may have been applied in part, so the client may use its resources or the
+        previous ones. The rejected version is not sent again; a later version is.
         """
         update = self.in_flight
         if update is None or nonce != update.nonce:
@@ -271,13 +286,13 @@
         self.nacks = 0
         for name, item in update.resources.items():
             if name not in self.sent:
-                continue  # it is not wanted any more
+                continue  # the client has unsubscribed from it meanwhile
             self.acked[name] = item.version
             self.nacked.pop(name, None)
             current = self.cache.by_kind[self.kind].get(name)
             if (
                 current is not None and current.version == item.version
-            ):  # perhaps of a later turn: it is the same
+            ):  # a later turn may have made this version current again: the content is the same
                 self.unacked_turns.pop(name, None)
                 self.unacked_at.pop(name, None)
             elif name in self.unacked_turns:
@@ -293,18 +308,19 @@
 
     @property
     def acked_turn(self) -> int:
-        """All write tables up to this turn are known to rule here."""
+        """The last turn up to which the client has acknowledged all resources that writes are routed by."""
         return min(self.unacked_turns.values(), default=NEVER) - 1
 
     @property
     def unacked_since(self) -> int:
-        """Since when the oldest write table has not been acknowledged; `NEVER` where none is missing."""
+        """Since when the oldest write resource has been unacknowledged; `NEVER` if there is none."""
         return min(self.unacked_at.values(), default=NEVER)
 
     @property
     def settled(self) -> bool:
-        """Nothing is on its way, and nothing is to be sent."""
+        """Whether no response is in flight and none is to be sent."""
         return self.in_flight is None and not self.dirty
 
     def end(self) -> None:
+        """Stops following the cache, as the stream has ended."""
         self.cache.open_watches.discard(self)
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -302,7 +302,7 @@
     step = one.advance(NOW + 1, 1, marks, numbers)
     assert step.updates and step.left is None and not step.acked_barriers
     step = one.advance(NOW + TERMS.ack_timeout_us + 2, 1, marks, numbers)
-    assert step.left == 5 and "acknowledges nothing" in step.lapse_reason
+    assert step.left == 5 and "does not acknowledge updates" in step.lapse_reason
     assert one.advance(NOW + TERMS.ack_timeout_us + 3, 1, marks, numbers).left is None
     told = settle(one, numbers, NOW + 3 * SECOND, 1, marks)
     assert all(step.joined is None for step in told)  # on probation
