--- a/lapispass/xds/__init__.py
+++ b/lapispass/xds/__init__.py
@@ -1,1 +1,1 @@
-"""The front for xDS clients: gRPC streams and message types; its decisions stand in `lapispass/core/`."""
+"""The server for xDS clients: gRPC streams and message types; its decisions are in `lapispass/core/`."""
--- a/lapispass/xds/closing_server.py
+++ b/lapispass/xds/closing_server.py
@@ -1,9 +1,9 @@
-"""grpclib's server, whose end closes its connections, and which accepts as the other listeners do.
+"""A grpclib server that closes its connections when it ends, and accepts them as the other listeners do.
 
-`grpclib.server.Server.close` stops listening and cancels the calls under way, but leaves every connection
-open: a client would find out by a ping that is not answered. Here they are closed, those that come meanwhile
-too. It listens by asyncio's server, which accepts nothing for a second where descriptors run out for a
-moment; here `Acceptor` accepts in its place.
+`grpclib.server.Server.close` stops listening and cancels the calls in progress, but leaves every connection
+open, so that a client finds out only by an unanswered ping. This server closes them all, including those
+that are accepted meanwhile. grpclib listens with asyncio's server, which accepts nothing for a second when
+file descriptors run out for a moment; here `Acceptor` accepts in its place.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 BACKLOG = 1024
 MAX_ACCEPTS_AT_ONCE = 128
-SETTLE_S = 1.0  # for connections that were accepted just before the end
+SETTLE_S = 1.0  # time allowed for connections that were accepted just before the end to be set up
 
 
 class ClosingServer(Server):
@@ -45,15 +45,15 @@
         return TrackedProtocol(super()._protocol_factory(), self)
 
     def connection_opened(self, transport: asyncio.Transport) -> None:
-        """A connection stands; one that came while the server ended is closed at once."""
+        """Registers a connection; one that is set up while the server ends is closed at once."""
         self.connections.add(transport)
         if self.is_closing:
             transport.abort()
 
     async def listen(self, address: str, tls: ssl.SSLContext | None, log: Part, counters: Counters) -> str:
-        """Listens at `host:port`; the address that it has got.
+        """Listens at `host:port` and returns the address that was bound.
 
-        An address that cannot be had for a moment, as while a former process ends, is tried for a while.
+        An address that is not available, for instance while a previous process ends, is retried for a while.
         """
         listener = await listener_in_time(address, BACKLOG)
         await self.start_with_retry(listener, tls)
@@ -70,7 +70,7 @@
         return await bound_address(listener)
 
     async def start_with_retry(self, listener: socket.socket, tls: ssl.SSLContext | None) -> None:
-        """Starts on a socket that listens; asyncio has it listen once more, which may fail for a moment."""
+        """Starts on a listening socket. asyncio calls `listen` on it again, which is retried if it fails."""
         loop = asyncio.get_running_loop()
         until = loop.time() + START.wait_s
         while True:
@@ -82,7 +82,7 @@
             await asyncio.sleep(START.pause_s)
 
     async def end(self) -> None:
-        """Ends as `close` does, once each connection that was accepted stands."""
+        """Closes the server once each accepted connection is set up, so that none is left open."""
         try:
             if self.acceptor is not None:
                 self.acceptor.stop()
@@ -92,7 +92,7 @@
             self.close()
 
     def close(self) -> None:
-        """Stops listening, cancels calls and closes connections; what is still unsent is dropped."""
+        """Stops listening, cancels calls and closes connections; data that is not sent yet is dropped."""
         super().close()
         self.is_closing = True
         for transport in self.connections:
@@ -100,7 +100,7 @@
 
 
 class TrackedProtocol(H2Protocol):
-    """One connection, which its server knows of for as long as it stands."""
+    """A connection that is registered with its server while it is open."""
 
     def __init__(self, plain: H2Protocol, server: ClosingServer) -> None:
         super().__init__(plain.handler, plain.config, plain.h2_config)
--- a/lapispass/xds/codec.py
+++ b/lapispass/xds/codec.py
@@ -1,5 +1,7 @@
-"""Values to xDS messages and back: the public v3 types of Envoy's data plane API, as `xds-protos` has
-them."""
+"""Encodes resources as xDS messages and decodes load reports.
+
+The messages are the public v3 types of Envoy's data plane API, from the package `xds-protos`.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
 
 
 def ads_config_source() -> config_source_pb2.ConfigSource:
-    """Whatever is pointed to comes over the same stream."""
+    """Tells the client to request a referenced resource over the same aggregated stream."""
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
     )
@@ -42,13 +44,14 @@
 
 @lru_cache(maxsize=65_536)
 def packed(body: Any) -> any_pb2.Any:
-    """A value as its message; made once for all clients."""
+    """A resource's message, wrapped in `Any`; encoded once for all clients."""
     wrapped = any_pb2.Any()
     wrapped.Pack(message(body))
     return wrapped
 
 
 def message(body: Any) -> Any:
+    """The xDS message of a resource from `core/resources.py`."""
     match body:
         case Cluster(name, timeout_us):
             return cluster_pb2.Cluster(
@@ -74,7 +77,7 @@
             return listener_pb2.Listener(
                 name=name, api_listener=api_listener_pb2.ApiListener(api_listener=inner)
             )
-    raise TypeError(f"no resource: {body!r}")
+    raise TypeError(f"not a resource: {body!r}")
 
 
 def duration(us: int) -> duration_pb2.Duration:
@@ -86,7 +89,7 @@
 
 
 def assignment(body: Assignment) -> endpoint_pb2.ClusterLoadAssignment:
-    """No endpoints is the empty step; what is not let in is dropped by category 'share'."""
+    """The endpoints of a slice; requests that are not admitted are dropped in the category 'share'."""
     made = endpoint_pb2.ClusterLoadAssignment(cluster_name=body.name)
     for node, address, zone in body.endpoints:
         host, _, port = address.rpartition(":")
@@ -105,18 +108,22 @@
     if body.drop_per_million:
         drop = made.policy.drop_overloads.add(category="share")
         drop.drop_percentage.numerator = body.drop_per_million
-        drop.drop_percentage.denominator = 2  # a million
+        drop.drop_percentage.denominator = 2  # MILLION
     return made
 
 
 def routes(body: Routes) -> route_pb2.RouteConfiguration:
-    """One virtual host; a slice is told by a header. Rule 2: only reads may have a retry policy."""
+    """One virtual host, whose routes match the slice header.
+
+    Only reads may have a retry policy: by rule 2 a write is sent once.
+    """
     made = route_pb2.RouteConfiguration(name=body.name)
     host = made.virtual_hosts.add(name=body.name, domains=["*"])
     for number in range(body.slices):
         action = route_components_pb2.RouteAction(cluster=f"{number}.{body.suffix}")
         if body.tries > 1 and body.suffix != "w":
-            action.retry_policy.retry_on = "connect-failure,refused-stream"  # only what was never started
+            # Retries only requests that no server has begun to process.
+            action.retry_policy.retry_on = "connect-failure,refused-stream"
             action.retry_policy.num_retries.value = body.tries - 1
         host.routes.add(
             match=route_components_pb2.RouteMatch(
@@ -137,7 +144,7 @@
 
 
 def wrapped_resource(name: str, item: VersionedResource, is_renewal: bool) -> discovery_pb2.Resource:
-    """In its wrapper, with its time to live; a renewal has no content."""
+    """A resource in its wrapper, with its time to live; a renewal has no content."""
     made = discovery_pb2.Resource(name=name, version=item.version)
     if not is_renewal or not ttl_us(item):
         made.resource.CopyFrom(packed(item.body))
@@ -158,7 +165,7 @@
 
 
 def sotw_response(update: Update) -> discovery_pb2.DiscoveryResponse:
-    """State of the world: resources with a time to live travel in their wrapper, the others bare."""
+    """A state-of-the-world response; only resources with a time to live are sent in a wrapper."""
     made = discovery_pb2.DiscoveryResponse(
         type_url=TYPE_URLS[update.kind], nonce=update.nonce, version_info=update.nonce
     )
@@ -171,43 +178,64 @@
 
 
 def error_text(status: status_pb2.Status) -> str:
-    """Why a client turned a response down, cut to a line."""
+    """Why a client rejected a response, on one line of at most 300 characters."""
     return " ".join(status.message.split())[:300]
 
 
 def load_events(
     report: lrs_pb2.LoadStatsRequest, zone: str, nodes: dict[str, str], slices: int, classes: tuple[str, str]
 ) -> list[interface.Event]:
-    """A load report as the module's sums: by endpoint what was met, by slice what came. Odd rows are left
-    out.
+    """The events of a load report: results by endpoint, and requests by slice.
 
-    `nodes` finds a node by its address, `classes` names the class of reads and that of writes.
+    Rows that are malformed or about unknown clusters or addresses are left out. `nodes` finds a node by its
+    address. `classes` are the names of the class of reads and the class of writes.
     """
     events: list[interface.Event] = []
     for stats in report.cluster_stats:
-        over_us = duration_us(stats.load_report_interval)
-        number, _, suffix = stats.cluster_name.partition(".")
-        if not number.isdecimal() or int(number) >= slices or suffix not in ("r", "w") or over_us <= 0:
+        interval_us = duration_us(stats.load_report_interval)
+        slice_number, _, suffix = stats.cluster_name.partition(".")
+        if (
+            not slice_number.isdecimal()
+            or int(slice_number) >= slices
+            or suffix not in ("r", "w")
+            or interval_us <= 0
+        ):
             continue
-        came = lost = 0
+        requests = failed_requests = 0
         for locality in stats.upstream_locality_stats:
-            done, failed = int(locality.total_successful_requests), int(locality.total_error_requests)
-            came, lost = came + done + failed, lost + failed
-            for row in locality.upstream_endpoint_stats:
-                where = row.address.socket_address
-                node = nodes.get(f"{where.address}:{where.port_value}")
-                tries = int(row.total_successful_requests) + int(row.total_error_requests)
+            succeeded, failed = int(locality.total_successful_requests), int(locality.total_error_requests)
+            requests, failed_requests = requests + succeeded + failed, failed_requests + failed
+            for endpoint_stats in locality.upstream_endpoint_stats:
+                socket_address = endpoint_stats.address.socket_address
+                node = nodes.get(f"{socket_address.address}:{socket_address.port_value}")
+                tries = int(endpoint_stats.total_successful_requests) + int(
+                    endpoint_stats.total_error_requests
+                )
                 if node is None or not 0 < tries < 1 << 40:
                     continue
-                spent = sum(metric.total_metric_value for metric in row.load_metric_stats
+                total_ms = sum(metric.total_metric_value for metric in endpoint_stats.load_metric_stats
                             if metric.metric_name == "ms")  # fmt: skip
-                took = int(1000 * spent / max(1, int(row.total_successful_requests)))
+                mean_us = int(1000 * total_ms / max(1, int(endpoint_stats.total_successful_requests)))
                 events.append(
                     interface.Met(
-                        node, zone, int(row.total_error_requests), tries, max(0, took), over_us, None
+                        node,
+                        zone,
+                        int(endpoint_stats.total_error_requests),
+                        tries,
+                        max(0, mean_us),
+                        interval_us,
+                        None,
                     )
                 )
         dropped = int(stats.total_dropped_requests)
-        if 0 < came + dropped < 1 << 40:
-            events.append(interface.Came(int(number), classes[suffix == "w"], came + dropped, lost, over_us))
+        if 0 < requests + dropped < 1 << 40:
+            events.append(
+                interface.Came(
+                    int(slice_number),
+                    classes[suffix == "w"],
+                    requests + dropped,
+                    failed_requests,
+                    interval_us,
+                )
+            )
     return events
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -1,8 +1,7 @@
-"""A controller without the platform: nodes from the operator file, assignments in the embedded store, xDS
-clients.
+"""Hosts a controller without the platform: nodes from the operator file, an embedded store, xDS clients.
 
-A turn here: gather events, ask the module, write the lines to the store, and only then publish. Probes are
-plain connections. SIGHUP reads nodes and TLS keys again; streams stay.
+A turn gathers events, lets the controller decide, writes the assignments to the store, and only then
+publishes them. Probes are plain connections. SIGHUP reads nodes and TLS keys again; open streams continue.
 """
 
 from __future__ import annotations
@@ -31,18 +30,18 @@
 from lapispass.xds.xds_server import create_xds_server, load_tls_keys, tls_context
 
 STATES = {Node.READY: "ready", Node.DRAINING: "draining", Node.GONE: "gone"}
-STORE_PROXY = 0  # the number of the store as a proxy
+STORE_PROXY = 0  # the number under which the store counts as a proxy
 COMPACT_EVERY = 1000  # turns
-STORE_OPEN_RETRY = RetryWindow(wait_s=5.0)  # of a store on a disk that fails
+STORE_OPEN_RETRY = RetryWindow(wait_s=5.0)  # for a store on a disk that fails for a moment
 
 
 class Host:
-    """One controller. `await Host(source, seed).run()`; `stop()` ends that."""
+    """Hosts one controller: `await Host(source, seed).run()` serves until `stop()` is called."""
 
     def __init__(self, source: Source, seed: int) -> None:
         if not source.told.HasField("alone"):
             raise BadFile(
-                [source.at("alone", "missing: the file describes no controller without the platform")]
+                [source.at("alone", "missing: the file does not describe a controller without the platform")]
             )
         self.source, self.clock, self.counters = source, Clock(), Counters()
         self.log = Part("host", 1_000_000)
@@ -59,14 +58,14 @@
         self.nodes: dict[str, Node] = {}
         self.load_nodes(source)
         self.open_store(source)
-        # The store is a proxy that answers at once: without it nothing would be published while nobody may
-        # write.
+        # The store counts as a proxy that acknowledges at once. Without any proxy the controller would
+        # publish nothing while no client may write.
         self.inbox.append(interface.Joined(STORE_PROXY, True, "", None))
 
     def open_store(self, source: Source) -> None:
-        """The store's table is kept; the module starts no handover there for one lease.
+        """Opens the store and takes over its assignments; no handover starts there for one lease.
 
-        A disk that fails for a moment is tried again for a while.
+        If the disk fails for a moment, opening is retried for a while.
         """
         path = Path(source.path).parent / source.told.alone.store_file
         try:
@@ -82,14 +81,14 @@
                 self.inbox.append(interface.Held(number, owner))
 
     def may_retry_open(self, error: Exception) -> bool:
-        """Whether the store may open at a further attempt."""
+        """Whether opening the store may succeed at a further attempt."""
         if not isinstance(error, NotWritten):
             return False
-        self.log.rate_limited("store not opened", why=error)
+        self.log.rate_limited("opening the store failed", why=error)
         return True
 
     def load_nodes(self, source: Source) -> None:
-        """The nodes of the file, as a list that is whole."""
+        """Reports the nodes of the file to the controller, as a complete list."""
         self.nodes = {node.id: node for node in source.told.node}
         entries = []
         for node in source.told.node:
@@ -103,7 +102,7 @@
         self.has_events.set()
 
     def tell(self, event: interface.Event) -> None:
-        """For the next turn. Sums are left out where too many wait."""
+        """Adds an event to the next turn. Load events are dropped while too many events wait."""
         if len(self.inbox) > 20_000 and isinstance(event, interface.Met | interface.Came):
             self.counters["host.events_left_out"] += 1
             return
@@ -122,7 +121,10 @@
         )
 
     def read_again(self) -> bool:
-        """SIGHUP: nodes and keys anew, streams stay; a bad file changes nothing."""
+        """Handles SIGHUP: reads nodes and TLS keys again; open streams continue.
+
+        An invalid file changes nothing. False if the file could not be read for the moment.
+        """
         self.counters["host.reloads"] += 1
         try:
             source = operator.read(self.source.path)
@@ -130,11 +132,11 @@
                 not source.told.HasField("alone")
                 or operator.alone(source.told).slices != self.deployment.slices
             ):
-                raise BadFile([source.at("alone.slices", "followed after a restart only")])
+                raise BadFile([source.at("alone.slices", "a change needs a restart")])
             if self.xds_server.tls is not None:
                 load_tls_keys(
                     tls_context(source) or self.xds_server.tls, source
-                )  # tried on a context of its own first
+                )  # a new context validates the files before the one in use is changed
                 load_tls_keys(self.xds_server.tls, source)
             self.load_nodes(source)
             self.log.say("operator file read again", nodes=len(self.nodes))
@@ -147,6 +149,7 @@
         return True
 
     async def run(self) -> None:
+        """Serves until `stop` is called or a task fails."""
         loop = asyncio.get_running_loop()
         tasks = [
             loop.create_task(task)
@@ -164,31 +167,31 @@
             self.print_counters()
 
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs beside the desk."""
+        """The tasks that run beside the xDS server."""
         return [self.run_turns()]
 
     def close_store(self) -> None:
         self.store.close()
 
     async def run_turns(self) -> None:
-        """One turn after the other."""
+        """Takes turns, one after the other."""
         while True:
             await self.wait_until_due()
             await self.turn()
 
     async def wait_until_due(self) -> None:
-        """Until there is news, or a wake-up has come."""
+        """Waits until there are events or a timer has fired, and for the pause between turns."""
         now = self.clock.now()
-        wake = min(self.timers.values(), default=now + 1_000_000)
+        wake_at = min(self.timers.values(), default=now + 1_000_000)
         try:
-            async with asyncio.timeout(max(0, wake - now) / 1e6):
+            async with asyncio.timeout(max(0, wake_at - now) / 1e6):
                 await self.has_events.wait()
         except TimeoutError:
             pass
         await asyncio.sleep(self.deployment.turn_every_us / 1e6)
 
     def decide(self) -> tuple[list[interface.Event], list[interface.Order]]:
-        """What waits goes to the module; its orders."""
+        """Takes a turn of the controller; returns its events and its orders."""
         now = self.clock.now()
         self.has_events.clear()
         events, self.inbox = self.inbox, []
@@ -199,15 +202,18 @@
         return events, self.controller.turn(now, events)
 
     async def turn(self) -> None:
-        """The module's lines are on the disk before anyone is told."""
+        """Takes a turn. Its assignments are written to the disk before they are published."""
         events, orders = self.decide()
         await self.commit(orders)
         self.execute_orders(orders)
         self.xds_server.turned(events, orders)
 
     async def commit(self, orders: Sequence[interface.Order]) -> None:
-        """Writes until the disk takes it: what the module has decided is owed, and no turn goes before it."""
-        again = Backoff(self.limits)
+        """Writes a turn's assignments, and retries until the disk takes them.
+
+        The controller counts its decisions as made, so no later turn may be published before them.
+        """
+        backoff = Backoff(self.limits)
         while True:
             try:
                 if not self.store.commit(orders):
@@ -216,17 +222,17 @@
                 break
             except NotWritten as error:
                 self.counters["host.commits_failed"] += 1
-                self.log.rate_limited("store not written", why=error)
-            await again.wait()
+                self.log.rate_limited("writing to the store failed", why=error)
+            await backoff.wait()
         if self.store.turn % COMPACT_EVERY == 0:
             try:
                 self.store.compact()
             except NotWritten as error:
                 self.counters["host.compactions_failed"] += 1
-                self.log.rate_limited("store not compacted", why=error)
+                self.log.rate_limited("compacting the store failed", why=error)
 
     def execute_orders(self, orders: Sequence[interface.Order]) -> None:
-        """What is not for clients."""
+        """Carries out the orders that are not for clients."""
         for order in orders:
             match order:
                 case interface.Log(text):
@@ -243,12 +249,12 @@
 
 
 async def serve(path: Path, seed: int, host_type: type[Host]) -> None:
-    """A whole process."""
+    """Runs a controller process until it is told to stop."""
     host = host_type(operator.read_at_start(path), seed)
     process.on_signals(host.stop, host.print_counters, host.read_again)
     await host.run()
 
 
 def main(path: Path, seed: int, host_type: type[Host] = Host) -> int:
-    """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
+    """The exit code of the process: 0 stopped, 1 failed, 2 invalid input."""
     return process.status(serve(path, seed, host_type), BadFile, f"{path}: xds.listen")
--- a/lapispass/xds/platform_server.py
+++ b/lapispass/xds/platform_server.py
@@ -1,4 +1,7 @@
-"""xDS clients beside the platform's controller: the relay stays the store, clients join the same module."""
+"""Serves xDS clients from the platform's controller.
+
+The relay stays the store of assignments. xDS clients count as further proxies of the same controller.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class PlatformXdsServer:
-    """A front for `Service.beside`."""
+    """The xDS server as an additional front of the platform service, for `Service.beside`."""
 
     def __init__(self, service: Service, source: Source) -> None:
         deployment = service.launch.told
@@ -22,7 +25,10 @@
         )
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
-        """Addresses are the registry's; a node that it forgets is no endpoint any more."""
+        """Publishes a turn.
+
+        Addresses come from the registry; a node that is no longer listed there is no endpoint any more.
+        """
         if any(isinstance(event, interface.Listed) for event in events):
             zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
             self.xds_server.addresses = {
--- a/lapispass/xds/write_routes.py
+++ b/lapispass/xds/write_routes.py
@@ -1,10 +1,10 @@
-"""Write routes that a client gets last, after it has acknowledged the write listener in time.
+"""Write routes, which a client gets last, after it has acknowledged the write listener in time.
 
-A client may stand still with the write listener received and not read. Once its stream has been cut, nobody
-learns when it reads that listener, whose time to live counts from then. So the listener alone lets nothing
-through: a client is granted it only while its write routes are closed, and they are opened on the same
-stream, once the listener is acknowledged. Routes that are read late open nothing, since the listener has run
-out by then.
+A client may pause when it has received the write listener and not read it yet. Once its stream has been cut,
+the controller cannot know when the client reads that listener, and its time to live starts only then. So the
+listener alone must not admit writes. A client is granted the listener only while its write routes are
+closed, that is empty. They are opened on the same stream once the listener is acknowledged. Routes that are
+read late admit nothing, because the listener has expired by then.
 """
 
 from __future__ import annotations
@@ -15,7 +15,10 @@
 
 
 class WriteRoutes:
-    """Opens and closes the write routes of a desk's clients. What is offered of routes never changes."""
+    """Opens and closes the write routes of the server's clients, by switching between two caches.
+
+    The routes in both caches never change.
+    """
 
     def __init__(self, open_cache: ResourceCache) -> None:
         self.open_cache = open_cache
@@ -25,12 +28,12 @@
             self.closed_cache.put("rds", name, body, item.turn)
 
     def add_watch(self, client: Client) -> None:
-        """Called before a client's first message about routes is taken: it begins with closed ones."""
+        """Gives the client closed routes; to be called before its first message about routes is handled."""
         if "rds" not in client.watches:
             client.watches["rds"] = Watch("rds", client.is_sotw, self.closed_cache)
 
     def may_grant(self, client: Client) -> bool:
-        """Whether the client is known to hold no open write routes, so that it may get the listener."""
+        """Whether the client is known to hold no open write routes, so that it may be sent the listener."""
         routes = client.watches.get("rds")
         if routes is None or routes.cache is not self.closed_cache or not routes.settled:
             return False
@@ -38,7 +41,7 @@
         return not routes.wants(WRITES) or routes.acked.get(WRITES) == closed
 
     def update_routes(self, client: Client) -> None:
-        """Opens the routes of a client that has the listener, and closes those of one that may not write."""
+        """Opens the write routes if the client has the write listener, and closes them otherwise."""
         routes = client.watches.get("rds")
         if routes is None:
             return
@@ -53,7 +56,7 @@
 
 
 def has_listener(client: Client) -> bool:
-    """Whether the client may write, and has acknowledged the listener in time."""
+    """Whether the client may write and has acknowledged the write listener in time."""
     if client.state != "writes":
         return False
     listeners = client.watches["lds"]
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -1,4 +1,4 @@
-"""xDS clients beside a controller: each stream in its own task, resources from the controller's turns."""
+"""Serves the xDS clients of a controller: one task per stream, and resources made from the turns."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
 CHECK_INTERVAL_S = 0.05
-MAX_GAP_US = 300_000
+MAX_GAP_US = 300_000  # a longer time between two checks counts as a pause of this process
 MAX_NODE_ID_LENGTH = 256
 STREAM_TIMEOUT_S = 10.0
-PROCESS_PAUSE_US = 100_000  # a process later than this stood still
+PROCESS_PAUSE_US = 100_000  # a timer that fires later than this shows that the process was paused
 T = TypeVar("T")
 Message = Any  # a DiscoveryRequest or a DeltaDiscoveryRequest; the types are generated
 
 
 class EventSink(Protocol):
-    """What the desk needs of whoever runs the controller's turns."""
+    """Runs the controller's turns, and takes the events for them."""
 
     def tell(self, event: interface.Event) -> None:
-        """For the next turn."""
+        """Adds an event to the next turn."""
 
 
 class XdsServer:
-    """All streams of one controller."""
+    """The xDS server of one controller, with the state of all its client streams."""
 
     def __init__(
         self,
@@ -76,76 +76,73 @@
         self.write_routes = WriteRoutes(self.cache)
         self.proxy_numbers = ProxyNumbers(first_number, limits.lease_us)
         self.clients: dict[str, tuple[Client, asyncio.Event]] = {}
-        self.probation: dict[str, int] = {}  # names of clients that lapsed: until when they only read
+        self.probation: dict[str, int] = {}  # until when a client that lapsed may only read, by its name
         self.addresses: dict[str, tables.Address] = {}
         self.turn = 0
         self.barriers: deque[tuple[int, int, int]] = deque(maxlen=4096)
         reads = next((kind.name for kind in deployment.classes if not kind.writes), "")
         self.classes = reads, next((kind.name for kind in deployment.classes if kind.writes), reads)
         self.load_streams = 0
-        self.may_grant_writes: Callable[[int], bool] = lambda now: (
-            True
-        )  # whether clients may be let write at all
+        # Whether any client may write at the given time; replaced where controllers share the nodes.
+        self.may_grant_writes: Callable[[int], bool] = lambda now: True
         self.checked_at = now()
-        self.departed: list[
-            tuple[int, int]
-        ] = []  # clients that left: until when they may write, by which turn
+        # Of clients that left: until when they may still write, and the last turn that they acknowledged.
+        self.departed: list[tuple[int, int]] = []
         self.keepalive_s = 10.0
 
-    # beside the controller's turns
+    # following the controller's turns
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
-        """A turn's changes become versions; whoever watches them is woken."""
+        """Publishes the changes of a turn."""
         changes, barrier = self.picture.turn(events, orders, self.addresses)
         self.publish(self.picture.stands, changes, barrier)
 
-    def publish(self, stands: tables.Tables, changes: list[tables.Change], barrier: int | None) -> None:
-        """Changes that stand already become versions; behind them a mark."""
+    def publish(self, current: tables.Tables, changes: list[tables.Change], barrier: int | None) -> None:
+        """Publishes changes that `current` contains already, and a barrier behind them; wakes all streams."""
         if not changes and barrier is None:
             return
         self.turn += 1
-        self.counters["xds.versions"] += resources.update_assignments(self.cache, stands, changes, self.turn)
+        self.counters["xds.versions"] += resources.update_assignments(self.cache, current, changes, self.turn)
         if barrier is not None:
             self.barriers.append((self.turn, barrier, self.now()))
-        for _, wake in self.clients.values():
-            wake.set()
+        for _, wake_up in self.clients.values():
+            wake_up.set()
 
     def acked_turn(self, now: int) -> int:
-        """The turn up to which no client of this desk can write by an older table, for other controllers.
+        """The last turn that every client that may write has acknowledged; reported to other controllers.
 
-        Those that left count for a lease with what they had proven.
+        Clients that left count for a lease, with the turn that they had acknowledged.
         """
         self.departed = [(until, turn) for until, turn in self.departed if until > now]
-        standing = [
+        connected = [
             min(self.turn, client.watches["eds"].acked_turn)
             for client, _ in self.clients.values()
             if client.proxy_number is not None and "eds" in client.watches
         ]
-        return min([self.turn, *standing, *(turn for _, turn in self.departed)])
+        return min([self.turn, *connected, *(turn for _, turn in self.departed)])
 
-    def check_pause(self) -> int:
-        """The time now. Guards clients against our own standing still, which would look like their
-        silence."""
+    def current_time(self) -> int:
+        """The current time. Detects pauses of this process, which would look like silence of the clients."""
         now = self.now()
         gap, self.checked_at = now - self.checked_at, now
         if gap > MAX_GAP_US:
             self.counters["xds.stood_still"] += 1
-            self.log.rate_limited("stood still", for_us=gap)
+            self.log.rate_limited("process paused", for_us=gap)
             for client, _ in self.clients.values():
                 client.exclude_pause(gap)
         return now
 
     async def detect_pauses(self) -> None:
-        """So that `awake` can tell a pause from quiet."""
+        """Calls `current_time` regularly, so that a long gap between two calls means a pause."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             log.write_on()
-            self.check_pause()
+            self.current_time()
 
-    # its life
+    # serving
 
     def __mapping__(self) -> dict[str, Handler]:
-        """The services that are offered, as grpclib asks for them."""
+        """The handlers of the gRPC methods, for grpclib."""
         stream = Cardinality.STREAM_STREAM
         return {
             ADS + "StreamAggregatedResources": Handler(
@@ -161,7 +158,7 @@
 
     async def run(self) -> None:
         """Listens until it is cancelled."""
-        # Guards against connections that say nothing: whoever answers no ping is closed.
+        # Connections on which a ping is not answered are closed, so that dead ones do not accumulate.
         pings = Configuration(
             _keepalive_time=self.keepalive_s,
             _keepalive_timeout=self.keepalive_s / 2,
@@ -179,27 +176,29 @@
             await server.end()
 
     async def sotw(self, stream: Stream[Any, Any]) -> None:
+        """Serves a stream of the state-of-the-world protocol."""
         await self.serve(stream, True)
 
     async def delta(self, stream: Stream[Any, Any]) -> None:
+        """Serves a stream of the incremental protocol."""
         await self.serve(stream, False)
 
     async def serve(self, stream: Stream[Any, Any], is_sotw: bool) -> None:
-        """The life of a client's stream."""
+        """Serves a client's stream from its first message to its end."""
         self.counters["xds.streams"] += 1
         if wait := self.connect_limiter.delay_us(self.now(), len(self.clients)):
             self.counters["xds.refused"] += 1
-            raise GRPCError(Status.UNAVAILABLE, f"come back in {wait // 1000} ms")
-        first = await self.with_timeout(stream.recv_message(), "no first message")
+            raise GRPCError(Status.UNAVAILABLE, f"too many clients at once; retry in {wait // 1000} ms")
+        first = await self.with_timeout(stream.recv_message(), "no first message received")
         if first is None:
             return
         name = first.node.id
         if not 0 < len(name) <= MAX_NODE_ID_LENGTH:
             raise GRPCError(Status.INVALID_ARGUMENT, "node.id is missing or too long")
-        wake = asyncio.Event()
+        wake_up = asyncio.Event()
         has_ttl = TTL_FEATURE in first.node.client_features
         if previous := self.clients.get(name):
-            previous[0].name = ""  # its own end finds that another one has its place
+            previous[0].name = ""  # tells the previous stream of this client to end
             previous[1].set()
         client = Client(
             name,
@@ -211,16 +210,16 @@
             self.now(),
             self.probation.pop(name, 0),
         )
-        self.clients[name] = client, wake
+        self.clients[name] = client, wake_up
         self.counters["xds.joined"] += 1
         self.log.rate_limited(
             "client joined", client=name, whole=is_sotw, writes="reads only" if not has_ttl else "by lease"
         )
-        sending = asyncio.get_running_loop().create_task(self.send_updates(stream, client, wake))
+        sending = asyncio.get_running_loop().create_task(self.send_updates(stream, client, wake_up))
         reading: asyncio.Future[Any] | None = None
         try:
             self.handle_message(client, first)
-            wake.set()
+            wake_up.set()
             while True:
                 reading = asyncio.ensure_future(stream.recv_message())
                 await asyncio.wait({reading, sending}, return_when=asyncio.FIRST_COMPLETED)
@@ -231,7 +230,7 @@
                 if message is None:
                     return
                 self.handle_message(client, message)
-                wake.set()
+                wake_up.set()
         except (StreamTerminatedError, h2.exceptions.ProtocolError, ConnectionError):
             self.counters["xds.broken"] += 1
         finally:
@@ -242,9 +241,9 @@
             await asyncio.gather(sending, *([reading] if reading else []), return_exceptions=True)
 
     async def with_timeout(self, work: Awaitable[T], what_is_late: str) -> T:
-        """What the work gives within `STUCK_S`; a client that takes longer costs its own stream.
+        """The result of the work; the stream ends if it takes longer than `STREAM_TIMEOUT_S`.
 
-        Where this process stood still, what has come meanwhile is read first.
+        After a pause of this process, what has arrived meanwhile is read before the time-out applies.
         """
         try:
             return await within(int(STREAM_TIMEOUT_S * 1e6), work, PROCESS_PAUSE_US)
@@ -255,7 +254,7 @@
             ) from None
 
     def remove_client(self, name: str, client: Client) -> None:
-        """The stream has ended, from whichever side."""
+        """Handles the end of a stream, whichever side ended it."""
         if self.clients.get(name, (None,))[0] is client:
             del self.clients[name]
             if client.probation_until > self.now():
@@ -265,20 +264,20 @@
         self.report_step(client, client.end(self.now(), self.proxy_numbers))
         self.counters["xds.left"] += 1
 
-    async def send_updates(self, stream: Stream[Any, Any], client: Client, wake: asyncio.Event) -> None:
-        """What is due, whenever something has changed, and renewals in time."""
-        async for update in self.due_updates(client, wake):
+    async def send_updates(self, stream: Stream[Any, Any], client: Client, wake_up: asyncio.Event) -> None:
+        """Sends responses whenever something has changed, and renewals in time."""
+        async for update in self.due_updates(client, wake_up):
             message = codec.sotw_response(update) if client.is_sotw else codec.delta_response(update)
             self.counters["xds.responses"] += 1
             self.counters["xds.resources"] += len(update.resources)
             self.counters["xds.bytes"] += message.ByteSize()
-            await self.with_timeout(stream.send_message(message), "a response is not read")
+            await self.with_timeout(stream.send_message(message), "a response was not read")
 
-    async def due_updates(self, client: Client, wake: asyncio.Event) -> AsyncIterator[Update]:
-        """One look after the other; ends where another stream has taken the client's name."""
+    async def due_updates(self, client: Client, wake_up: asyncio.Event) -> AsyncIterator[Update]:
+        """Yields responses as they become due, until another stream of the same client replaces this one."""
         while client.name:
-            wake.clear()
-            now = self.check_pause()
+            wake_up.clear()
+            now = self.current_time()
             self.write_routes.update_routes(client)
             step = client.advance(
                 now, self.turn, self.barriers, self.proxy_numbers, self.may_write(client, now)
@@ -291,20 +290,20 @@
                     async with asyncio.timeout(
                         CHECK_INTERVAL_S if client.state != "reads" else 20 * CHECK_INTERVAL_S
                     ):
-                        await wake.wait()
+                        await wake_up.wait()
                 except TimeoutError:
                     pass
-        raise GRPCError(Status.ABORTED, "another stream of this node")
+        raise GRPCError(Status.ABORTED, "replaced by another stream of the same node.id")
 
     def may_write(self, client: Client, now: int) -> bool:
-        """Whether a client may go on writing, or be granted writing where it only reads."""
+        """Whether a client may keep its permission to write, or be granted it."""
         return self.may_grant_writes(now) and (client.state != "reads" or self.write_routes.may_grant(client))
 
     def report_step(self, client: Client, step: ClientStep) -> None:
-        """A client's news for the module."""
+        """Passes the events of a client's step on to the controller."""
         if step.lapse_reason:
             self.counters["xds.lapsed"] += 1
-            self.log.rate_limited("client may not write", client=client.name, why=step.lapse_reason)
+            self.log.rate_limited("client may no longer write", client=client.name, why=step.lapse_reason)
         if step.left is not None:
             until = self.now() + step.left_delay_us + self.limits.lease_us
             self.departed.append((until, step.left_acked_turn))
@@ -319,58 +318,60 @@
             self.event_sink.tell(interface.Answered(number, barrier, took_us))
 
     def handle_message(self, client: Client, message: Message) -> None:
-        """A client's message: an answer to the last response of its kind, and what it wants."""
+        """Handles a client's message: an answer to the last response of a kind, and its subscription."""
         kind = codec.KIND_BY_TYPE_URL.get(message.type_url)
         if kind is None:
-            raise GRPCError(Status.INVALID_ARGUMENT, f"no resources of type {message.type_url[:200]!r}")
-        known = kind in client.watches
+            raise GRPCError(Status.INVALID_ARGUMENT, f"unknown resource type {message.type_url[:200]!r}")
+        is_known = kind in client.watches
         if kind == "rds":
             self.write_routes.add_watch(client)
         watch = client.watch(kind)
         if message.response_nonce:
-            refused = message.HasField("error_detail")
-            heard = watch.handle_answer(message.response_nonce, refused, self.check_pause())
-            self.counters[f"xds.{heard.outcome}"] += 1
-            if refused and heard.outcome == "refused":
+            is_nack = message.HasField("error_detail")
+            result = watch.handle_answer(message.response_nonce, is_nack, self.current_time())
+            self.counters[f"xds.{result.outcome}"] += 1
+            if is_nack and result.outcome == "refused":
                 self.log.rate_limited(
-                    "client turns a version down",
+                    "client rejected a response",
                     client=client.name,
                     kind=kind,
                     why=codec.error_text(message.error_detail),
-                    names=",".join(heard.names[:5]),
+                    names=",".join(result.names[:5]),
                 )
-            if heard.outcome == "stale" and client.is_sotw:
-                return  # by the specification a message with an older nonce is passed over whole
+            if result.outcome == "stale" and client.is_sotw:
+                return  # xDS specifies that a request with an outdated nonce is ignored
         if isinstance(message, discovery_pb2.DiscoveryRequest):
             names = set(message.resource_names) - {"*"}
-            everything = (
+            wants_all = (
                 kind in ("cds", "lds") and not message.resource_names
             ) or "*" in message.resource_names
-            if not known:
-                watch.begin(None if everything else names, {})
-            elif not everything:
+            if not is_known:
+                watch.begin(None if wants_all else names, {})
+            elif not wants_all:
                 watch.replace_subscription(names)
-        elif not known:
+        elif not is_known:
             names = set(message.resource_names_subscribe) - {"*"}
-            everything = (
+            wants_all = (
                 kind in ("cds", "lds") and not message.resource_names_subscribe
             ) or "*" in message.resource_names_subscribe
-            watch.begin(None if everything else names, dict(message.initial_resource_versions))
+            watch.begin(None if wants_all else names, dict(message.initial_resource_versions))
         else:
             watch.change_subscription(message.resource_names_subscribe, message.resource_names_unsubscribe)
         if client.subscribed_names() > self.limits.max_names:
-            raise GRPCError(Status.RESOURCE_EXHAUSTED, f"more than {self.limits.max_names} names")
+            raise GRPCError(
+                Status.RESOURCE_EXHAUSTED, f"subscribed to more than {self.limits.max_names} names"
+            )
 
     async def receive_load_reports(self, stream: Stream[Any, Any]) -> None:
-        """A load report's stream: every report interval what was met and what came."""
+        """Serves a stream of load reports, and passes each report on as events."""
         if self.load_streams >= self.limits.max_clients:
-            raise GRPCError(Status.RESOURCE_EXHAUSTED, "too many load reports")
+            raise GRPCError(Status.RESOURCE_EXHAUSTED, "too many streams of load reports")
         self.load_streams += 1
         zone = ""
         try:
-            while (told := await stream.recv_message()) is not None:
-                if told.HasField("node"):
-                    zone = told.node.locality.zone
+            while (report := await stream.recv_message()) is not None:
+                if report.HasField("node"):
+                    zone = report.node.locality.zone
                     answer = lrs_pb2.LoadStatsResponse(
                         send_all_clusters=True, report_endpoint_granularity=True
                     )
@@ -379,7 +380,7 @@
                     )
                     await stream.send_message(answer)
                 nodes = {address.address: node for node, address in self.addresses.items()}
-                events = codec.load_events(told, zone, nodes, self.deployment.slices, self.classes)
+                events = codec.load_events(report, zone, nodes, self.deployment.slices, self.classes)
                 self.counters["xds.reports"] += 1
                 for event in events:
                     self.event_sink.tell(event)
@@ -390,9 +391,9 @@
 
 
 def tls_context(source: Source) -> ssl.SSLContext | None:
-    """Keys of the file, or none; what can't be read is named by its field."""
-    told = source.told.xds
-    if not told.HasField("tls"):
+    """The TLS settings of the operator file, or None; a file that cannot be read is reported by its field."""
+    settings = source.told.xds
+    if not settings.HasField("tls"):
         return None
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -402,7 +403,10 @@
 
 
 def load_tls_keys(context: ssl.SSLContext, source: Source) -> None:
-    """Into a context that may be in use: streams that stand keep theirs, new ones get these."""
+    """Loads certificate and keys into a context, which may be in use.
+
+    Open connections keep their keys; new ones use the loaded keys.
+    """
     folder, tls = Path(source.path).parent, source.told.xds.tls
     field = "xds.tls.certificate_file"
     try:
@@ -423,17 +427,19 @@
     deployment: interface.Deployment,
     seed: int,
 ) -> XdsServer:
-    """The front as the operator file sets it; its clients' numbers follow those of the deployment's
-    proxies."""
-    told = source.told.xds
-    usual = ClientLimits(deployment.lease_us)
-    limits = usual._replace(
-        ack_timeout_us=told.late_ms * 1000 if told.HasField("late_ms") else usual.ack_timeout_us,
-        max_clients=told.clients if told.HasField("clients") else usual.max_clients,
+    """The xDS server that the operator file describes.
+
+    The proxy numbers of its clients follow those of the deployment's proxies.
+    """
+    settings = source.told.xds
+    defaults = ClientLimits(deployment.lease_us)
+    limits = defaults._replace(
+        ack_timeout_us=settings.late_ms * 1000 if settings.HasField("late_ms") else defaults.ack_timeout_us,
+        max_clients=settings.clients if settings.HasField("clients") else defaults.max_clients,
     )
-    per_s = told.new_per_s if told.HasField("new_per_s") else 200.0
+    per_s = settings.new_per_s if settings.HasField("new_per_s") else 200.0
     connect_limiter = ConnectLimiter(
-        limits.max_clients, per_s, told.burst if told.HasField("burst") else 100, seed
+        limits.max_clients, per_s, settings.burst if settings.HasField("burst") else 100, seed
     )
     return XdsServer(
         event_sink,
@@ -443,6 +449,6 @@
         connect_limiter,
         deployment.proxies,
         counters,
-        told.listen,
+        settings.listen,
         tls_context(source),
     )
