--- a/tests/test_write_routes.py
+++ b/tests/test_write_routes.py
@@ -1,4 +1,4 @@
-"""When a client's write routes are open, beside its write listener."""
+"""When the write routes of a client are open, depending on its write listener."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 from lapispass.xds.write_routes import WriteRoutes
 
 NOW = 1_000 * SECOND
-TERMS = ClientLimits(lease_us=2 * SECOND)
+LIMITS = ClientLimits(lease_us=2 * SECOND)
 
 
 class Stream:
-    """A client and its server's steps, without a network."""
+    """A client's stream and the steps that its server takes, without a network."""
 
-    def __init__(self, whole: bool = False, routes: set[str] | None = None, held: str = "") -> None:
-        self.offered, self.numbers, self.now = ResourceCache(), ProxyNumbers(100, TERMS.lease_us), NOW
-        resources.put_static_resources(self.offered, 2, 1, TERMS.ttl_us)
-        self.write_routes = WriteRoutes(self.offered)
-        self.client = Client("c0", "east", whole, True, self.offered, TERMS, NOW)
+    def __init__(self, is_sotw: bool = False, routes: set[str] | None = None, held: str = "") -> None:
+        self.cache, self.numbers, self.now = ResourceCache(), ProxyNumbers(100, LIMITS.lease_us), NOW
+        resources.put_static_resources(self.cache, 2, 1, LIMITS.ttl_us)
+        self.write_routes = WriteRoutes(self.cache)
+        self.client = Client("c0", "east", is_sotw, True, self.cache, LIMITS, NOW)
         for kind in ("cds", "eds", "lds"):
             self.client.watch(kind).begin(None, {})
         self.write_routes.add_watch(self.client)
         self.client.watch("rds").begin(routes, {WRITES: held} if held else {})
 
     def version(self, is_open: bool) -> str:
-        cache = self.offered if is_open else self.write_routes.closed_cache
+        cache = self.cache if is_open else self.write_routes.closed_cache
         return cache.by_kind["rds"][WRITES].version
 
-    def look(self) -> list[Update]:
+    def advance(self) -> list[Update]:
         self.write_routes.update_routes(self.client)
         may_write = self.client.state != "reads" or self.write_routes.may_grant(self.client)
         return self.client.advance(self.now, 0, deque(), self.numbers, may_write).updates
 
     def acknowledge(self, updates: list[Update], after_us: int = 0) -> None:
         for update in updates:
-            heard = self.client.watches[update.kind].handle_answer(update.nonce, False, self.now + after_us)
-            assert heard.outcome == "acknowledged"
+            result = self.client.watches[update.kind].handle_answer(update.nonce, False, self.now + after_us)
+            assert result.outcome == "acknowledged"
         self.now += after_us
 
-    def sent(self, until: str = "", most: int = 20) -> list[tuple[str, str]]:
-        """Names and versions of listeners and routes of writes, in the order in which they were sent.
+    def sent(self, until: str = "", max_steps: int = 20) -> list[tuple[str, str]]:
+        """Kinds and versions of the listeners and routes for writes, in the order in which they are sent.
 
-        Everything is acknowledged, but an update with `until`, which ends it.
+        Acknowledges everything, until a resource of the kind `until` is sent.
         """
         seen: list[tuple[str, str]] = []
-        for _ in range(most):
-            updates = self.look()
+        for _ in range(max_steps):
+            updates = self.advance()
             for update in updates:
                 if WRITES in update.resources and not update.is_renewal:
                     seen.append((update.kind, update.resources[WRITES].version))
@@ -61,37 +61,37 @@
         return seen
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_the_listener_comes_between_closed_routes_and_open_ones(whole: bool) -> None:
-    stream = Stream(whole)
-    kinds = [("rds", stream.version(False)), ("lds", stream.offered.by_kind["lds"][WRITES].version)]
-    assert stream.sent() == [*kinds, ("rds", stream.version(True))]
+@pytest.mark.parametrize("is_sotw", [False, True])
+def test_the_listener_comes_between_closed_routes_and_open_ones(is_sotw: bool) -> None:
+    stream = Stream(is_sotw)
+    expected = [("rds", stream.version(False)), ("lds", stream.cache.by_kind["lds"][WRITES].version)]
+    assert stream.sent() == [*expected, ("rds", stream.version(True))]
 
 
 def test_open_routes_held_from_an_earlier_stream_are_closed_before_the_listener_is_granted() -> None:
-    """Guards rule 2 where a stopped client reads its grant after the slices have new owners."""
+    """A paused client may read its grant after the slices have new owners; open routes would break rule 2."""
     stream = Stream(held=Stream().version(True))
     assert stream.sent(until="lds") == [
         ("rds", stream.version(False)),
-        ("lds", stream.offered.by_kind["lds"][WRITES].version),
+        ("lds", stream.cache.by_kind["lds"][WRITES].version),
     ]
 
 
 def test_the_listener_waits_until_closed_routes_are_acknowledged() -> None:
     stream = Stream(held=Stream().version(True))
     for _ in range(5):
-        stream.acknowledge([update for update in stream.look() if update.kind != "rds"])
+        stream.acknowledge([update for update in stream.advance() if update.kind != "rds"])
     assert stream.client.state == "reads"
 
 
-def test_a_client_that_has_not_asked_for_routes_yet_is_granted_nothing() -> None:
+def test_a_client_that_has_not_subscribed_to_routes_yet_is_granted_nothing() -> None:
     stream = Stream()
     del stream.client.watches["rds"]
     assert stream.sent() == [] and stream.client.state == "reads"
 
 
-def test_a_client_that_asks_for_write_routes_after_it_has_the_listener_gets_open_ones() -> None:
-    # Envoy asks for the routes that its listeners name.
+def test_a_client_that_subscribes_to_write_routes_after_it_has_the_listener_gets_open_ones() -> None:
+    # Envoy subscribes to the routes that its listeners name.
     stream = Stream(routes={"reads"})
     assert [kind for kind, _ in stream.sent()] == ["lds"]
     stream.client.watches["rds"].change_subscription([WRITES], [])
@@ -103,24 +103,24 @@
     stream.sent(until="lds")
     listeners = stream.client.watches["lds"]
     assert listeners.in_flight is not None
-    stream.acknowledge([listeners.in_flight], TERMS.delivery_margin_us + 1)
+    stream.acknowledge([listeners.in_flight], LIMITS.delivery_margin_us + 1)
     assert stream.sent() == [] and stream.client.state == "reads"
 
 
-def test_routes_are_closed_anew_where_the_right_to_write_ends_and_open_with_the_next_grant() -> None:
+def test_routes_are_closed_when_write_permission_ends_and_opened_with_the_next_grant() -> None:
     stream = Stream()
     stream.sent()
-    stream.client.watches["eds"].nacks = TERMS.max_nacks
+    stream.client.watches["eds"].nacks = LIMITS.max_nacks
     assert stream.sent() == [("rds", stream.version(False))]
     assert stream.client.state == "reads"
     stream.client.watches["eds"].nacks = 0
     stream.now = stream.client.probation_until
-    kinds = [("lds", stream.offered.by_kind["lds"][WRITES].version), ("rds", stream.version(True))]
-    assert stream.sent() == kinds
+    expected = [("lds", stream.cache.by_kind["lds"][WRITES].version), ("rds", stream.version(True))]
+    assert stream.sent() == expected
 
 
-def test_routes_are_followed_by_no_stream_that_has_ended() -> None:
+def test_a_stream_that_has_ended_watches_no_routes() -> None:
     stream = Stream()
     stream.sent()
     stream.client.end(stream.now, stream.numbers)
-    assert not stream.offered.open_watches and not stream.write_routes.closed_cache.open_watches
+    assert not stream.cache.open_watches and not stream.write_routes.closed_cache.open_watches
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -1,4 +1,4 @@
-"""Versions, clients and the store: pure cases, and a store that is killed and spoilt."""
+"""xDS versions and clients without I/O, and the store when its process is killed or its file is corrupt."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from lapispass import interface
 from lapispass.core import resources, tables
@@ -22,427 +22,432 @@
 from lapispass.store.assignments import Assignments, Spoilt
 
 NOW = 1_000 * SECOND
-TERMS = ClientLimits(lease_us=2 * SECOND)
+LIMITS = ClientLimits(lease_us=2 * SECOND)
 
 
-def cache(slices: int = 2) -> ResourceCache:
-    made = ResourceCache()
-    resources.put_static_resources(made, slices, 1, TERMS.ttl_us)
-    return made
+def make_cache(slices: int = 2) -> ResourceCache:
+    cache = ResourceCache()
+    resources.put_static_resources(cache, slices, 1, LIMITS.ttl_us)
+    return cache
 
 
-def stands(owner: str = "a", slices: int = 2) -> tables.Tables:
-    made = tables.Tables(slices)
-    made.nodes = {"a": tables.Address("127.0.0.1:1", "east"), "b": tables.Address("127.0.0.1:2", "east")}
-    made.owners = dict.fromkeys(range(slices), owner)
-    return made
+def make_tables(owner: str = "a", slices: int = 2) -> tables.Tables:
+    table = tables.Tables(slices)
+    table.nodes = {"a": tables.Address("127.0.0.1:1", "east"), "b": tables.Address("127.0.0.1:2", "east")}
+    table.owners = dict.fromkeys(range(slices), owner)
+    return table
 
 
-def watch(
-    made: ResourceCache, kind: str = "eds", whole: bool = False, held: dict[str, str] | None = None
+def make_watch(
+    cache: ResourceCache, kind: str = "eds", is_sotw: bool = False, held: dict[str, str] | None = None
 ) -> Watch:
-    one = Watch(kind, whole, made)
-    one.begin(None, held or {})
-    return one
+    watch = Watch(kind, is_sotw, cache)
+    watch.begin(None, held or {})
+    return watch
 
 
-def answer(one: Watch, refused: bool = False, now: int = NOW) -> str:
-    assert one.in_flight is not None
-    return one.handle_answer(one.in_flight.nonce, refused, now).outcome
+def answer(watch: Watch, is_nack: bool = False, now: int = NOW) -> str:
+    assert watch.in_flight is not None
+    return watch.handle_answer(watch.in_flight.nonce, is_nack, now).outcome
 
 
-def publish(made: ResourceCache, owner: str | None, turn: int) -> None:
-    table = stands()
+def publish(cache: ResourceCache, owner: str | None, turn: int) -> None:
+    table = make_tables()
     if owner is None:
         table.owners.clear()
     else:
         table.owners = dict.fromkeys(range(2), owner)
-    resources.update_assignments(made, table, [tables.SetLine(number, owner) for number in range(2)], turn)
+    resources.update_assignments(cache, table, [tables.SetLine(number, owner) for number in range(2)], turn)
 
 
 # versions
 
 
 def test_only_changes_are_sent_and_one_response_at_a_time() -> None:
-    made = cache()
-    one = watch(made)
-    first = one.next_update(NOW, 100)
+    cache = make_cache()
+    watch = make_watch(cache)
+    first = watch.next_update(NOW, 100)
     assert first is not None and len(first.resources) == 4
-    publish(made, "a", 1)
-    publish(made, "b", 2)
-    assert one.next_update(NOW, 100) is None  # the first is not answered yet: what changes is put together
-    assert answer(one) == "acknowledged"
-    second = one.next_update(NOW, 100)
+    publish(cache, "a", 1)
+    publish(cache, "b", 2)
+    assert watch.next_update(NOW, 100) is None  # the first is unanswered: changes are merged
+    assert answer(watch) == "acknowledged"
+    second = watch.next_update(NOW, 100)
     assert second is not None and {item.turn for item in second.resources.values()} == {2}
-    answer(one)
-    assert one.next_update(NOW, 100) is None and one.settled
-    publish(made, "b", 3)
-    assert one.next_update(NOW, 100) is None
-
-
-def test_a_write_table_counts_from_its_first_change_that_is_not_acknowledged() -> None:
-    made = cache()
-    publish(made, "a", 1)
-    one = watch(made)
-    one.next_update(NOW, 100)
-    answer(one)
-    assert one.acked_turn > 10**9
-    publish(made, None, 2)
-    publish(made, "b", 5)
-    assert one.acked_turn == 1
-    one.next_update(NOW, 100)
-    publish(made, None, 7)  # while the update of turn 5 is on its way
-    assert answer(one) == "acknowledged"
-    assert one.acked_turn == 5
-    one.next_update(NOW, 100)
-    answer(one)
-    assert one.acked_turn > 10**9
-
-
-def test_what_is_turned_down_may_have_been_applied_and_is_not_sent_again_until_it_changes() -> None:
-    made = cache()
-    one = watch(made)
-    one.next_update(NOW, 100)
-    answer(one)
-    publish(made, "a", 1)
-    one.next_update(NOW, 100)
-    assert answer(one, refused=True) == "refused"
-    assert one.acked_turn == 0 and one.next_update(NOW, 100) is None
-    publish(made, None, 2)
-    assert one.next_update(NOW, 100) is not None
-    answer(one)
-    assert one.acked_turn > 10**9 and not one.nacked
-
-
-def test_a_wrong_an_old_and_a_second_nonce_mean_nothing() -> None:
-    made = cache()
-    one = watch(made)
-    update = one.next_update(NOW, 100)
+    answer(watch)
+    assert watch.next_update(NOW, 100) is None and watch.settled
+    publish(cache, "b", 3)
+    assert watch.next_update(NOW, 100) is None
+
+
+def test_a_write_resource_counts_from_its_first_change_that_is_not_acknowledged() -> None:
+    cache = make_cache()
+    publish(cache, "a", 1)
+    watch = make_watch(cache)
+    watch.next_update(NOW, 100)
+    answer(watch)
+    assert watch.acked_turn > 10**9
+    publish(cache, None, 2)
+    publish(cache, "b", 5)
+    assert watch.acked_turn == 1
+    watch.next_update(NOW, 100)
+    publish(cache, None, 7)  # while the update of turn 5 is in flight
+    assert answer(watch) == "acknowledged"
+    assert watch.acked_turn == 5
+    watch.next_update(NOW, 100)
+    answer(watch)
+    assert watch.acked_turn > 10**9
+
+
+def test_a_rejected_version_may_have_been_applied_and_is_not_sent_again_until_it_changes() -> None:
+    cache = make_cache()
+    watch = make_watch(cache)
+    watch.next_update(NOW, 100)
+    answer(watch)
+    publish(cache, "a", 1)
+    watch.next_update(NOW, 100)
+    assert answer(watch, is_nack=True) == "refused"
+    assert watch.acked_turn == 0 and watch.next_update(NOW, 100) is None
+    publish(cache, None, 2)
+    assert watch.next_update(NOW, 100) is not None
+    answer(watch)
+    assert watch.acked_turn > 10**9 and not watch.nacked
+
+
+def test_a_wrong_an_outdated_and_a_repeated_nonce_have_no_effect() -> None:
+    cache = make_cache()
+    watch = make_watch(cache)
+    update = watch.next_update(NOW, 100)
     assert update is not None
-    assert one.handle_answer("another", False, NOW).outcome == "stale" and one.in_flight is update
-    assert answer(one) == "acknowledged"
-    assert one.handle_answer(update.nonce, False, NOW).outcome == "stale"  # twice
-    publish(made, "a", 1)
-    one.next_update(NOW, 100)
+    assert watch.handle_answer("another", False, NOW).outcome == "stale" and watch.in_flight is update
+    assert answer(watch) == "acknowledged"
+    assert watch.handle_answer(update.nonce, False, NOW).outcome == "stale"  # repeated
+    publish(cache, "a", 1)
+    watch.next_update(NOW, 100)
     assert (
-        one.handle_answer(update.nonce, False, NOW).outcome == "stale" and one.acked_turn == 0
+        watch.handle_answer(update.nonce, False, NOW).outcome == "stale" and watch.acked_turn == 0
     )  # out of turn
 
 
 def test_a_client_that_comes_back_is_sent_only_what_changed_since() -> None:
-    made = cache()
-    publish(made, "a", 1)
-    held = {name: item.version for name, item in made.by_kind["eds"].items()}
-    anew = cache()  # a restarted controller: its turns begin anew, its versions say what they hold
-    publish(anew, "a", 0)
-    one = watch(anew, held={**held, "9.w": "of a slice that is no more"})
-    update = one.next_update(NOW, 100)
+    cache = make_cache()
+    publish(cache, "a", 1)
+    held = {name: item.version for name, item in cache.by_kind["eds"].items()}
+    # After a restart turns are counted from 0 again, while the same content has the same version.
+    restarted = make_cache()
+    publish(restarted, "a", 0)
+    watch = make_watch(restarted, held={**held, "9.w": "of a slice that no longer exists"})
+    update = watch.next_update(NOW, 100)
     assert update is not None and not update.resources and update.removed == ("9.w",)
-    answer(one)
-    assert one.settled and one.acked_turn > 10**9
+    answer(watch)
+    assert watch.settled and watch.acked_turn > 10**9
 
 
 def test_names_can_be_subscribed_unsubscribed_and_asked_for_again() -> None:
-    made = cache()
-    one = Watch("eds", False, made)
-    one.begin({"0.w", "nowhere"}, {})
-    update = one.next_update(NOW, 100)
+    cache = make_cache()
+    watch = Watch("eds", False, cache)
+    watch.begin({"0.w", "nowhere"}, {})
+    update = watch.next_update(NOW, 100)
     assert update is not None and set(update.resources) == {"0.w"} and update.removed == ("nowhere",)
-    answer(one)
-    one.change_subscription(["0.r"], ["0.w"])
-    publish(made, "a", 1)
-    update = one.next_update(NOW, 100)
+    answer(watch)
+    watch.change_subscription(["0.r"], ["0.w"])
+    publish(cache, "a", 1)
+    update = watch.next_update(NOW, 100)
     assert update is not None and set(update.resources) == {"0.r"}
-    answer(one)
-    one.change_subscription(["0.r"], [])  # again: it is sent again
-    update = one.next_update(NOW, 100)
+    answer(watch)
+    watch.change_subscription(["0.r"], [])  # subscribed again: it is sent again
+    update = watch.next_update(NOW, 100)
     assert update is not None and set(update.resources) == {"0.r"}
 
 
 def test_state_of_the_world_always_names_all_listeners_and_clusters() -> None:
-    made = cache()
-    one = watch(made, "cds", whole=True)
-    one.next_update(NOW, 100)
-    answer(one)
-    made.put("cds", "new", ("x",), 1)
-    update = one.next_update(NOW, 100)
+    cache = make_cache()
+    watch = make_watch(cache, "cds", is_sotw=True)
+    watch.next_update(NOW, 100)
+    answer(watch)
+    cache.put("cds", "new", ("x",), 1)
+    update = watch.next_update(NOW, 100)
     assert update is not None and len(update.resources) == 5
-    answer(one)
-    made.remove("cds", "new", 2)
-    update = one.next_update(NOW, 100)
+    answer(watch)
+    cache.remove("cds", "new", 2)
+    update = watch.next_update(NOW, 100)
     assert update is not None and "new" not in update.resources and len(update.resources) == 4
 
 
 @given(
-    some.lists(
-        some.tuples(
-            some.sampled_from(["publish", "send", "ack", "nack", "stale"]),
-            some.sampled_from(["a", "b", None]),
+    st.lists(
+        st.tuples(
+            st.sampled_from(["publish", "send", "ack", "nack", "stale"]),
+            st.sampled_from(["a", "b", None]),
         ),
         max_size=60,
     )
 )
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_the_proven_turn_is_never_later_than_what_a_plain_model_says_is_applied(steps) -> None:
-    """The model keeps every state that the client may be in; proven means that none of them is older."""
-    made = cache(1)
-    one = watch(made)
-    may_hold: list[set[int]] = [{-1}]  # of slice 0's write table: the turns whose table the client may have
-    turn, flying = 0, None
-    contents = {0: made.by_kind["eds"]["0.w"].version}
+def test_the_acknowledged_turn_is_never_later_than_what_a_simple_model_says_is_applied(steps) -> None:
+    """The model keeps every state that the client may be in; an acknowledged turn means none is older."""
+    cache = make_cache(1)
+    watch = make_watch(cache)
+    may_hold: list[set[int]] = [{-1}]  # the turns whose version of slice 0's write table the client may hold
+    turn, in_flight_turn = 0, None
+    contents = {0: cache.by_kind["eds"]["0.w"].version}
     for what, owner in steps:
         match what:
             case "publish":
                 turn += 1
-                table = stands(slices=1)
+                table = make_tables(slices=1)
                 table.owners = {0: owner} if owner else {}
-                resources.update_assignments(made, table, [tables.SetLine(0, owner)], turn)
+                resources.update_assignments(cache, table, [tables.SetLine(0, owner)], turn)
             case "send":
-                update = one.next_update(NOW, 100)
+                update = watch.next_update(NOW, 100)
                 if update is not None:
-                    flying = update.resources["0.w"].turn if "0.w" in update.resources else None
-                    if flying is not None:
-                        may_hold[0] = may_hold[0] | {flying}
-            case "ack" if one.in_flight is not None:
-                answer(one)
-                if flying is not None:
-                    may_hold[0] = {flying}
-                flying = None
-            case "nack" if one.in_flight is not None:
-                answer(one, refused=True)
-                flying = None
+                    in_flight_turn = update.resources["0.w"].turn if "0.w" in update.resources else None
+                    if in_flight_turn is not None:
+                        may_hold[0] = may_hold[0] | {in_flight_turn}
+            case "ack" if watch.in_flight is not None:
+                answer(watch)
+                if in_flight_turn is not None:
+                    may_hold[0] = {in_flight_turn}
+                in_flight_turn = None
+            case "nack" if watch.in_flight is not None:
+                answer(watch, is_nack=True)
+                in_flight_turn = None
             case "stale":
-                one.handle_answer("no such", False, NOW)
-        item = made.by_kind["eds"]["0.w"]
+                watch.handle_answer("no such", False, NOW)
+        item = cache.by_kind["eds"]["0.w"]
         contents[item.turn] = item.version
-        # It may still write by something else than what stands; the same content of another turn is the
-        # same table.
+        # The client may still write by a table other than the current one. The same content of another turn
+        # counts as the same table.
         if any(contents.get(held) != item.version for held in may_hold[0]):
-            assert one.acked_turn < item.turn, (one.acked_turn, may_hold, item.turn)
+            assert watch.acked_turn < item.turn, (watch.acked_turn, may_hold, item.turn)
 
 
 @given(
-    some.lists(
-        some.tuples(some.sampled_from(["publish", "send", "ack"]), some.sampled_from(["a", "b", None])),
+    st.lists(
+        st.tuples(st.sampled_from(["publish", "send", "ack"]), st.sampled_from(["a", "b", None])),
         max_size=40,
     )
 )
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_in_the_end_all_is_proven(steps) -> None:
-    """Found by killing controllers: a table that changed there and back stayed unproven for good."""
-    made = cache(1)
-    one = watch(made)
+def test_everything_is_acknowledged_in_the_end(steps) -> None:
+    """A table that changed and changed back before it was sent stayed unacknowledged for ever."""
+    cache = make_cache(1)
+    watch = make_watch(cache)
     for turn, (what, owner) in enumerate(steps):
         if what == "publish":
-            table = stands(slices=1)
+            table = make_tables(slices=1)
             table.owners = {0: owner} if owner else {}
-            resources.update_assignments(made, table, [tables.SetLine(0, owner)], turn)
+            resources.update_assignments(cache, table, [tables.SetLine(0, owner)], turn)
         elif what == "send":
-            one.next_update(NOW, 100)
-        elif one.in_flight is not None:
-            answer(one)
+            watch.next_update(NOW, 100)
+        elif watch.in_flight is not None:
+            answer(watch)
     for _ in range(3):
-        if one.in_flight is not None:
-            answer(one)
-        one.next_update(NOW, 100)
-    assert one.settled and one.acked_turn > 10**9
+        if watch.in_flight is not None:
+            answer(watch)
+        watch.next_update(NOW, 100)
+    assert watch.settled and watch.acked_turn > 10**9
 
 
 # clients
 
 
-def client(made: ResourceCache, **more: object) -> tuple[Client, ProxyNumbers]:
-    told = dict(name="c", zone="east", is_sotw=False, has_ttl=True, cache=made, limits=TERMS, now=NOW)
-    one = Client(**{**told, **more})  # type: ignore[arg-type]
+def make_client(cache: ResourceCache, **overrides: object) -> tuple[Client, ProxyNumbers]:
+    arguments = dict(name="c", zone="east", is_sotw=False, has_ttl=True, cache=cache, limits=LIMITS, now=NOW)
+    client = Client(**{**arguments, **overrides})  # type: ignore[arg-type]
     for kind in ("cds", "eds", "lds", "rds"):
-        one.watch(kind).begin(None, {})
-    return one, ProxyNumbers(5, TERMS.lease_us)
+        client.watch(kind).begin(None, {})
+    return client, ProxyNumbers(5, LIMITS.lease_us)
 
 
 def settle(
-    one: Client, numbers: ProxyNumbers, now: int = NOW, turn: int = 0, marks: deque | None = None
+    client: Client, numbers: ProxyNumbers, now: int = NOW, turn: int = 0, barriers: deque | None = None
 ) -> list:
-    """Answers whatever is sent until nothing is; what was told to the module on the way."""
-    told = []
-    for watch in one.watches.values():
+    """Acknowledges whatever is sent until nothing is left to send; returns all steps."""
+    steps = []
+    for watch in client.watches.values():
         if watch.in_flight is not None:
             watch.handle_answer(watch.in_flight.nonce, False, now)
     for _ in range(20):
-        step = one.advance(now, turn, marks or deque(), numbers)
-        told.append(step)
+        step = client.advance(now, turn, barriers or deque(), numbers)
+        steps.append(step)
         if not step.updates:
             break
         for update in step.updates:
-            assert one.watches[update.kind].handle_answer(update.nonce, False, now).outcome == "acknowledged"
-    return told
+            assert (
+                client.watches[update.kind].handle_answer(update.nonce, False, now).outcome == "acknowledged"
+            )
+    return steps
 
 
-def test_the_right_to_write_comes_last_and_the_client_is_a_proxy_from_then_on() -> None:
-    made = cache()
-    one, numbers = client(made)
-    step = one.advance(NOW, 0, deque(), numbers)
+def test_write_permission_is_granted_last_and_the_client_is_a_proxy_from_then_on() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    step = client.advance(NOW, 0, deque(), numbers)
     assert [update.kind for update in step.updates] == ["cds", "eds"] and step.joined is None
-    told = settle(one, numbers)
-    assert [step.joined for step in told if step.joined is not None] == [5]
-    assert one.watches["lds"].acked.keys() == {"reads", WRITES}
+    steps = settle(client, numbers)
+    assert [step.joined for step in steps if step.joined is not None] == [5]
+    assert client.watches["lds"].acked.keys() == {"reads", WRITES}
 
 
 def test_a_client_without_times_to_live_only_reads() -> None:
-    one, numbers = client(cache(), has_ttl=False)
-    assert all(step.joined is None for step in settle(one, numbers))
-    assert one.watches["lds"].acked.keys() == {"reads"}
-
-
-def test_one_that_acknowledges_nothing_loses_the_right_and_holds_up_marks_no_longer() -> None:
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    publish(made, "a", 1)
-    marks = deque([(1, 77, NOW)])
-    step = one.advance(NOW + 1, 1, marks, numbers)
+    client, numbers = make_client(make_cache(), has_ttl=False)
+    assert all(step.joined is None for step in settle(client, numbers))
+    assert client.watches["lds"].acked.keys() == {"reads"}
+
+
+def test_a_client_that_acknowledges_nothing_loses_write_permission_and_delays_no_barrier() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    publish(cache, "a", 1)
+    barriers = deque([(1, 77, NOW)])
+    step = client.advance(NOW + 1, 1, barriers, numbers)
     assert step.updates and step.left is None and not step.acked_barriers
-    step = one.advance(NOW + TERMS.ack_timeout_us + 2, 1, marks, numbers)
+    step = client.advance(NOW + LIMITS.ack_timeout_us + 2, 1, barriers, numbers)
     assert step.left == 5 and "does not acknowledge updates" in step.lapse_reason
-    assert one.advance(NOW + TERMS.ack_timeout_us + 3, 1, marks, numbers).left is None
-    told = settle(one, numbers, NOW + 3 * SECOND, 1, marks)
-    assert all(step.joined is None for step in told)  # on probation
-    told = settle(one, numbers, NOW + 60 * SECOND, 1, marks)
-    assert [step.joined for step in told if step.joined is not None] == [5]  # long after its lease
-
-
-def test_a_mark_is_answered_when_its_tables_are_acknowledged_and_not_before() -> None:
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    publish(made, "a", 3)
-    marks = deque([(2, 8, NOW), (3, 9, NOW)])
-    step = one.advance(NOW + 5, 3, marks, numbers)
-    assert [mark for _, mark, _ in step.acked_barriers] == [8]  # turn 2 changed nothing here
-    one.watches["eds"].handle_answer(one.watches["eds"].in_flight.nonce, False, NOW + 6)  # type: ignore[union-attr]
-    step = one.advance(NOW + 7, 3, marks, numbers)
+    assert client.advance(NOW + LIMITS.ack_timeout_us + 3, 1, barriers, numbers).left is None
+    steps = settle(client, numbers, NOW + 3 * SECOND, 1, barriers)
+    assert all(step.joined is None for step in steps)  # on probation
+    steps = settle(client, numbers, NOW + 60 * SECOND, 1, barriers)
+    assert [step.joined for step in steps if step.joined is not None] == [5]  # long after its lease
+
+
+def test_a_barrier_is_acknowledged_when_its_tables_are_and_not_before() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    publish(cache, "a", 3)
+    barriers = deque([(2, 8, NOW), (3, 9, NOW)])
+    step = client.advance(NOW + 5, 3, barriers, numbers)
+    assert [barrier for _, barrier, _ in step.acked_barriers] == [8]  # turn 2 changed nothing for this client
+    client.watches["eds"].handle_answer(client.watches["eds"].in_flight.nonce, False, NOW + 6)  # type: ignore[union-attr]
+    step = client.advance(NOW + 7, 3, barriers, numbers)
     assert step.acked_barriers == [(5, 9, 7)]
 
 
-def test_one_that_turns_the_same_down_again_and_again_loses_the_right() -> None:
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
+def test_a_client_that_rejects_several_responses_in_a_row_loses_write_permission() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
     left = None
     for turn in range(1, 9):
-        publish(made, "ab"[turn % 2], turn)
-        step = one.advance(NOW + turn, turn, deque(), numbers)
+        publish(cache, "ab"[turn % 2], turn)
+        step = client.advance(NOW + turn, turn, deque(), numbers)
         left = left if step.left is None else step.left
-        if one.watches["eds"].in_flight is not None:
-            one.watches["eds"].handle_answer(one.watches["eds"].in_flight.nonce, True, NOW + turn)
+        if client.watches["eds"].in_flight is not None:
+            client.watches["eds"].handle_answer(client.watches["eds"].in_flight.nonce, True, NOW + turn)
     assert left == 5
 
 
-def test_one_that_reads_renewals_late_loses_the_right() -> None:
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    now = NOW + TERMS.renewal_interval_us
-    step = one.advance(now, 0, deque(), numbers)
+def test_a_client_that_reads_renewals_late_loses_write_permission() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    now = NOW + LIMITS.renewal_interval_us
+    step = client.advance(now, 0, deque(), numbers)
     assert [update.is_renewal for update in step.updates] == [True]
-    one.watches["lds"].handle_answer(step.updates[0].nonce, False, now + TERMS.delivery_margin_us + 1)
-    assert one.advance(now + TERMS.delivery_margin_us + 2, 0, deque(), numbers).left == 5
+    client.watches["lds"].handle_answer(step.updates[0].nonce, False, now + LIMITS.delivery_margin_us + 1)
+    assert client.advance(now + LIMITS.delivery_margin_us + 2, 0, deque(), numbers).left == 5
 
 
-def test_a_controller_that_stood_still_does_not_blame_its_clients() -> None:
-    """Found by pausing controllers: all of their clients were put on probation, for up to a minute."""
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    publish(made, "a", 1)
-    assert one.advance(NOW + 1, 1, deque(), numbers).updates
-    later = NOW + 4 * TERMS.ack_timeout_us
-    one.exclude_pause(later - NOW - 1)
-    assert one.advance(later, 1, deque(), numbers).left is None
-    assert one.advance(later + TERMS.ack_timeout_us + 1, 1, deque(), numbers).left == 5
+def test_a_pause_of_the_controller_does_not_count_against_its_clients() -> None:
+    """After a pause of the controller all of its clients were put on probation, for up to a minute."""
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    publish(cache, "a", 1)
+    assert client.advance(NOW + 1, 1, deque(), numbers).updates
+    later = NOW + 4 * LIMITS.ack_timeout_us
+    client.exclude_pause(later - NOW - 1)
+    assert client.advance(later, 1, deque(), numbers).left is None
+    assert client.advance(later + LIMITS.ack_timeout_us + 1, 1, deque(), numbers).left == 5
 
 
 def test_without_the_controllers_own_session_nobody_writes() -> None:
-    """Found by thought: a controller that was paused would have let newcomers write by its old tables."""
-    made = cache()
-    one, numbers = client(made)
+    """A controller that was paused would have let new clients write by its outdated tables."""
+    cache = make_cache()
+    client, numbers = make_client(cache)
     for _ in range(6):
-        for update in one.advance(NOW, 0, deque(), numbers, False).updates:
-            one.watches[update.kind].handle_answer(update.nonce, False, NOW)
-    assert one.proxy_number is None and WRITES not in one.watches["lds"].acked
-    settle(one, numbers)
-    assert one.proxy_number == 5
-    step = one.advance(NOW + 1, 0, deque(), numbers, False)
+        for update in client.advance(NOW, 0, deque(), numbers, False).updates:
+            client.watches[update.kind].handle_answer(update.nonce, False, NOW)
+    assert client.proxy_number is None and WRITES not in client.watches["lds"].acked
+    settle(client, numbers)
+    assert client.proxy_number == 5
+    step = client.advance(NOW + 1, 0, deque(), numbers, False)
     assert step.left == 5 and [update.removed for update in step.updates] == [(WRITES,)]
 
 
-def test_a_renewal_waits_for_the_one_before() -> None:
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    first = one.advance(NOW + TERMS.renewal_interval_us, 0, deque(), numbers)
-    assert first.updates and not one.advance(NOW + 2 * TERMS.renewal_interval_us, 0, deque(), numbers).updates
-
-
-def test_an_end_with_a_renewal_on_its_way_is_told_later() -> None:
-    """Found by thought after a breach in the drop test: a client may read its last renewal long after the
-    end."""
-    made = cache()
-    one, numbers = client(made)
-    settle(one, numbers)
-    assert one.end(NOW, numbers).left_delay_us == 0
-    one, numbers = client(made)
-    settle(one, numbers)
-    assert one.advance(NOW + TERMS.renewal_interval_us, 0, deque(), numbers).updates
-    step = one.end(NOW + TERMS.renewal_interval_us, numbers)
-    assert (step.left, step.left_delay_us) == (5, TERMS.ack_timeout_us)
-    assert numbers.allocate(NOW + TERMS.lease_us + SECOND) == 6  # nor is its number free sooner
-
-
-def test_one_that_has_read_listeners_late_before_is_not_granted_writing() -> None:
-    made = cache()
-    one, numbers = client(made)
+def test_a_renewal_waits_for_the_answer_to_the_previous_one() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    first = client.advance(NOW + LIMITS.renewal_interval_us, 0, deque(), numbers)
+    assert (
+        first.updates
+        and not client.advance(NOW + 2 * LIMITS.renewal_interval_us, 0, deque(), numbers).updates
+    )
+
+
+def test_a_stream_end_with_a_renewal_in_flight_is_reported_later() -> None:
+    """A client may read its last renewal long after the stream ended, and write until that expires."""
+    cache = make_cache()
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    assert client.end(NOW, numbers).left_delay_us == 0
+    client, numbers = make_client(cache)
+    settle(client, numbers)
+    assert client.advance(NOW + LIMITS.renewal_interval_us, 0, deque(), numbers).updates
+    step = client.end(NOW + LIMITS.renewal_interval_us, numbers)
+    assert (step.left, step.left_delay_us) == (5, LIMITS.ack_timeout_us)
+    assert numbers.allocate(NOW + LIMITS.lease_us + SECOND) == 6  # its number is not free sooner either
+
+
+def test_a_client_that_has_read_listeners_late_is_not_granted_write_permission() -> None:
+    cache = make_cache()
+    client, numbers = make_client(cache)
     for _ in range(8):
-        for update in one.advance(NOW, 0, deque(), numbers).updates:
-            assert one.watches[update.kind].handle_answer(
-                update.nonce, False, NOW + TERMS.delivery_margin_us + 1
+        for update in client.advance(NOW, 0, deque(), numbers).updates:
+            assert client.watches[update.kind].handle_answer(
+                update.nonce, False, NOW + LIMITS.delivery_margin_us + 1
             )
-    assert one.state == "reads" and one.proxy_number is None
-    told = settle(one, numbers, NOW + TERMS.lease_us + SECOND)  # it is looked at again, and is prompt by now
-    assert [step.joined for step in told if step.joined is not None] == [5]
+    assert client.state == "reads" and client.proxy_number is None
+    steps = settle(client, numbers, NOW + LIMITS.lease_us + SECOND)  # measured again, and prompt
+    assert [step.joined for step in steps if step.joined is not None] == [5]
 
 
-def test_a_number_is_used_again_only_after_its_lease() -> None:
+def test_a_proxy_number_is_allocated_again_only_after_a_lease() -> None:
     numbers = ProxyNumbers(5, 2 * SECOND)
     assert numbers.allocate(NOW) == 5
     numbers.release(NOW, 5)
     assert numbers.allocate(NOW + SECOND) == 6 and numbers.allocate(NOW + 3 * SECOND) == 5
 
 
-def test_a_write_listener_held_from_an_earlier_stream_is_granted_anew_and_whole() -> None:
-    """Found by thought: renewed without content it would not revive what has run out at the client."""
-    made = cache()
-    version = made.by_kind["lds"][WRITES].version
-    one = Client("c", "", False, True, made, TERMS, NOW)
+def test_a_write_listener_held_from_an_earlier_stream_is_sent_again_in_full() -> None:
+    """A renewal without content would not restore a listener that has expired at the client."""
+    cache = make_cache()
+    version = cache.by_kind["lds"][WRITES].version
+    client = Client("c", "", False, True, cache, LIMITS, NOW)
     for kind in ("cds", "eds", "lds"):
-        one.watch(kind).begin(None, {WRITES: version} if kind == "lds" else {})
-    told = settle(one, ProxyNumbers(1, 1))
-    sent = [update for step in told for update in step.updates if WRITES in update.resources]
+        client.watch(kind).begin(None, {WRITES: version} if kind == "lds" else {})
+    steps = settle(client, ProxyNumbers(1, 1))
+    sent = [update for step in steps for update in step.updates if WRITES in update.resources]
     assert sent and not sent[0].is_renewal
 
 
-def test_the_doorway_lets_thousands_in_one_after_the_other_and_says_when_to_come() -> None:
-    door = ConnectLimiter(10_000, 100.0, 50, 3)
-    waits = [door.delay_us(NOW, 0) for _ in range(2000)]
+def test_thousands_of_clients_are_admitted_over_time_and_told_when_to_retry() -> None:
+    limiter = ConnectLimiter(10_000, 100.0, 50, 3)
+    waits = [limiter.delay_us(NOW, 0) for _ in range(2000)]
     assert waits.count(0) == 50 and min(wait for wait in waits if wait) >= SECOND // 100
-    assert len({wait // 50_000 for wait in waits}) > 200  # spread
-    assert door.delay_us(NOW + 60 * SECOND, 10_000) >= SECOND  # full
+    assert len({wait // 50_000 for wait in waits}) > 200  # spread over time
+    assert limiter.delay_us(NOW + 60 * SECOND, 10_000) >= SECOND  # full
 
 
 # resources
 
 
-def test_the_empty_step_shut_writes_and_shares_are_assignments() -> None:
-    table = stands()
+def test_assignments_express_withdrawn_owners_blocked_writes_and_shares() -> None:
+    table = make_tables()
     assert resources.assignment(table, 0, True).endpoints[0].node == "a"
     table.apply(tables.SetShare(0, 0.25, True))
     assert resources.assignment(table, 0, True).endpoints == ()
@@ -487,7 +492,7 @@
         again.close()
 
 
-def test_a_spoilt_store_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_a_corrupt_store_is_rejected_with_a_message_of_one_line(tmp_path: Path) -> None:
     def fresh() -> Path:
         path = tmp_path / f"s{len(list(tmp_path.iterdir()))}"
         store = Assignments(path, 64)
@@ -536,7 +541,7 @@
 
 
 def test_a_store_killed_at_any_point_opens_with_the_last_turn_that_was_acknowledged(tmp_path: Path) -> None:
-    """`benchmarks/xds_streams.py --kills 500` does the same five hundred times."""
+    """`benchmarks/xds_streams.py kills --times 500` does the same 500 times."""
     acknowledged = 0
     for kill in range(12):
         process = subprocess.Popen(
@@ -553,6 +558,6 @@
         acknowledged = int(last[-1]) if last else acknowledged
         store = Assignments(tmp_path / "s", 8)
         assert store.turn in (acknowledged, acknowledged + 1)
-        assert set(store.owners().values()) <= {f"t{store.turn}"}  # whole, of one turn
+        assert set(store.owners().values()) <= {f"t{store.turn}"}  # complete, and of a single turn
         acknowledged = store.turn
         store.close()
