--- a/tests/test_write_routes.py
+++ b/tests/test_write_routes.py
@@ -84,13 +84,13 @@
     assert stream.client.state == "reads"
 
 
-def test_a_client_that_has_not_subscribed_to_routes_yet_is_granted_nothing() -> None:
+def test_a_client_that_has_not_asked_for_routes_yet_is_granted_nothing() -> None:
     stream = Stream()
     del stream.client.watches["rds"]
     assert stream.sent() == [] and stream.client.state == "reads"
 
 
-def test_a_client_that_subscribes_to_write_routes_after_it_has_the_listener_gets_open_ones() -> None:
+def test_a_client_that_asks_for_write_routes_after_it_has_the_listener_gets_open_ones() -> None:
     # Envoy subscribes to the routes that its listeners name.
     stream = Stream(routes={"reads"})
     assert [kind for kind, _ in stream.sent()] == ["lds"]
@@ -107,7 +107,7 @@
     assert stream.sent() == [] and stream.client.state == "reads"
 
 
-def test_routes_are_closed_when_write_permission_ends_and_opened_with_the_next_grant() -> None:
+def test_routes_are_closed_anew_where_the_right_to_write_ends_and_open_with_the_next_grant() -> None:
     stream = Stream()
     stream.sent()
     stream.client.watches["eds"].nacks = LIMITS.max_nacks
@@ -119,7 +119,7 @@
     assert stream.sent() == expected
 
 
-def test_a_stream_that_has_ended_watches_no_routes() -> None:
+def test_routes_are_followed_by_no_stream_that_has_ended() -> None:
     stream = Stream()
     stream.sent()
     stream.client.end(stream.now, stream.numbers)
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -1,5 +1,7 @@
-"""xDS on loopback: stand-in clients, an independent one on grpcio, TLS, and streams that are cut at
-random."""
+"""The xDS server on loopback: stand-in clients, an independent client on grpcio, TLS, and random faults.
+
+Also tests of the operator file's error messages, and of the checkers that the random runs use.
+"""
 
 from __future__ import annotations
 
@@ -78,13 +80,13 @@
 def test_a_client_gets_a_small_fleet_and_a_drained_node_disappears(tmp_path: Path, incremental: bool) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.xds_server.address, "c0", 1, incremental)
-            async with clients(one):
-                await until(lambda: all(one.writes_to(number) for number in range(6)))
-                assert len(one.held["cds"]) == 12 and set(one.held["rds"]) == {"reads", "writes"}
-                assert {one.writes_to(number) for number in range(6)} == {"n0", "n1"}
+            client = XdsClient(host.xds_server.address, "c0", 1, incremental)
+            async with clients(client):
+                await until(lambda: all(client.writes_to(number) for number in range(6)))
+                assert len(client.held["cds"]) == 12 and set(client.held["rds"]) == {"reads", "writes"}
+                assert {client.writes_to(number) for number in range(6)} == {"n0", "n1"}
                 drain(host)
-                await until(lambda: all(one.writes_to(number) == "n1" for number in range(6)))
+                await until(lambda: all(client.writes_to(number) == "n1" for number in range(6)))
                 assert host.store.owners() == dict.fromkeys(range(6), "n1")
 
     play(test())
@@ -93,7 +95,9 @@
 @pytest.mark.parametrize(
     "faults", [Faults(silent=True), Faults(deaf=True), Faults(refuses=True), Faults(refuses_applied=True)]
 )
-def test_a_client_that_does_not_acknowledge_holds_up_nobody_for_long(tmp_path: Path, faults: Faults) -> None:
+def test_a_client_that_does_not_acknowledge_delays_handovers_only_briefly(
+    tmp_path: Path, faults: Faults
+) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
             good, bad = (XdsClient(host.xds_server.address, name, 1) for name in ("good", "bad"))
@@ -105,7 +109,7 @@
                 await until(lambda: all(good.writes_to(number) == "n1" for number in range(6)))
                 assert (
                     asyncio.get_running_loop().time() - begun < 4
-                )  # 0.4 s late, 0.4 s lease, and the usual waits
+                )  # `late_ms` of 0.4 s, a lease of 0.4 s, and the usual waits
                 assert all(bad.writes_to(number) in (None, "n1") for number in range(6))
 
     play(test())
@@ -114,11 +118,11 @@
 def test_a_client_without_times_to_live_reads_and_never_writes(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(ttl=False))
-            async with clients(one):
-                await until(lambda: all(one.reads_from(number) for number in range(6)))
+            client = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(ttl=False))
+            async with clients(client):
+                await until(lambda: all(client.reads_from(number) for number in range(6)))
                 await asyncio.sleep(0.5)
-                assert all(one.writes_to(number) is None for number in range(6))
+                assert all(client.writes_to(number) is None for number in range(6))
 
     play(test())
 
@@ -126,39 +130,39 @@
 def test_a_client_that_loses_its_stream_stops_writing_within_the_lease_and_reads_on(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(wait_s=5.0))
-            async with clients(one):
-                await until(lambda: one.writes_to(0))
-                one.drop()
+            client = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(wait_s=5.0))
+            async with clients(client):
+                await until(lambda: client.writes_to(0))
+                client.drop()
                 await asyncio.sleep(0.4)
-                assert one.writes_to(0) is None and one.reads_from(0)
+                assert client.writes_to(0) is None and client.reads_from(0)
 
     play(test())
 
 
 def test_a_controller_that_ends_closes_every_connection(tmp_path: Path) -> None:
-    """grpclib cancels the calls and leaves connections open: clients kept them until a ping failed."""
+    """grpclib cancels the calls and leaves the connections open, so clients kept them until a ping failed."""
 
     async def test() -> None:
         async with controller(tmp_path, keepalive_s=3600.0) as host:
             address = host.xds_server.address.split(":")
             opened = [await asyncio.open_connection(*address) for _ in range(20)]
-            await opened[0][0].readexactly(9)  # the server's settings: it is served by now
-            coming = [asyncio.create_task(asyncio.open_connection(*address)) for _ in range(20)]
-            await asyncio.sleep(0)  # these come in the moment of the end
+            await opened[0][0].readexactly(9)  # the server's settings frame: it is served by now
+            connecting = [asyncio.create_task(asyncio.open_connection(*address)) for _ in range(20)]
+            await asyncio.sleep(0)  # these connect while the server ends
             host.stop()
-            came = await asyncio.gather(*coming, return_exceptions=True)
-            for pair in [*opened, *(one for one in came if isinstance(one, tuple))]:
+            connected = await asyncio.gather(*connecting, return_exceptions=True)
+            for reader_and_writer in [*opened, *(pair for pair in connected if isinstance(pair, tuple))]:
                 with suppress(ConnectionError):
-                    await asyncio.wait_for(pair[0].read(), 10)
-                pair[1].close()
+                    await asyncio.wait_for(reader_and_writer[0].read(), 10)
+                reader_and_writer[1].close()
 
     play(test())
 
 
 @pytest.mark.parametrize("rounds", range(6))
 def test_a_connection_accepted_at_any_round_of_a_servers_end_is_closed(rounds: int) -> None:
-    """One accepted in the round of the close was left open, unserved, until it was collected as garbage."""
+    """A connection accepted in the loop iteration of the close was left open until garbage collection."""
 
     async def test() -> None:
         server = ClosingServer([], config=Configuration())
@@ -190,37 +194,37 @@
                     assert first.stream is None and len(host.xds_server.clients) == 1
                     assert (
                         host.xds_server.clients["same"][0].proxy_number != number
-                    )  # the first one's lease may still run
+                    )  # the lease of the first stream may not have ended yet
 
     play(test())
 
 
 def test_a_reconnect_to_a_restarted_controller_is_answered_with_what_changed(tmp_path: Path) -> None:
     async def test() -> None:
-        one = XdsClient("", "c0", 1)
+        client = XdsClient("", "c0", 1)
         async with controller(tmp_path) as host:
-            one.address = host.xds_server.address
-            async with clients(one):
-                await until(lambda: all(one.writes_to(number) for number in range(6)))
-        before = dict(one.endpoints)
+            client.address = host.xds_server.address
+            async with clients(client):
+                await until(lambda: all(client.writes_to(number) for number in range(6)))
+        before = dict(client.endpoints)
         async with controller(tmp_path) as host:
-            one.address = host.xds_server.address
-            async with clients(one):
-                await until(lambda: one.writes_to(0))
-                assert one.endpoints == before  # the store's table is kept
+            client.address = host.xds_server.address
+            async with clients(client):
+                await until(lambda: client.writes_to(0))
+                assert client.endpoints == before  # the assignments in the store are kept
                 assert host.counters["xds.resources"] <= 12  # of 34
 
     play(test())
 
 
-def test_thousands_at_once_are_let_in_one_after_the_other(tmp_path: Path) -> None:
+def test_many_clients_that_connect_at_once_are_admitted_over_time(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path, rate=40) as host:
             many = [
                 XdsClient(host.xds_server.address, f"c{n}", n, faults=Faults(wait_s=0.3)) for n in range(120)
             ]
             async with clients(*many):
-                await until(lambda: all(one.reads_from(0) for one in many), 20)
+                await until(lambda: all(client.reads_from(0) for client in many), 20)
                 assert host.counters["xds.refused"] > 0
 
     play(test())
@@ -229,23 +233,23 @@
 @pytest.mark.parametrize(
     "junk", [b"GET / HTTP/1.1\r\n\r\n", b"\x00" * 100, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 50]
 )
-def test_junk_on_the_port_costs_its_connection(tmp_path: Path, junk: bytes) -> None:
+def test_a_connection_that_sends_junk_is_closed_and_others_are_not(tmp_path: Path, junk: bytes) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            one = XdsClient(host.xds_server.address, "c0", 1)
-            async with clients(one):
-                await until(lambda: one.writes_to(0))
+            client = XdsClient(host.xds_server.address, "c0", 1)
+            async with clients(client):
+                await until(lambda: client.writes_to(0))
                 reader, writer = await asyncio.open_connection(*host.xds_server.address.split(":"))
                 writer.write(junk)
                 await asyncio.wait_for(reader.read(), 5)
                 writer.close()
-                assert one.writes_to(0) and one.streams == 1
+                assert client.writes_to(0) and client.streams == 1
 
     play(test())
 
 
 def test_an_independent_client_on_grpcio_reads_the_same(tmp_path: Path) -> None:
-    """Not our own codec or HTTP/2: grpcio's channel, and the specification's messages."""
+    """Uses grpcio's HTTP/2 and the published message types, instead of this project's client."""
     import grpc
     from envoy.config.endpoint.v3 import endpoint_pb2
     from envoy.service.discovery.v3 import discovery_pb2
@@ -289,20 +293,20 @@
     play(test())
 
 
-def test_load_reports_become_the_modules_sums(tmp_path: Path) -> None:
+def test_load_reports_become_events_for_the_controller(tmp_path: Path) -> None:
     async def test() -> None:
         from envoy.service.load_stats.v3 import lrs_pb2
         from grpclib.client import Channel, StreamStreamMethod
 
         async with controller(tmp_path) as host:
-            heard: list[Any] = []
+            events: list[Any] = []
             tell = host.tell
 
-            def listen(event: interface.Event) -> None:
-                heard.append(event)
+            def record(event: interface.Event) -> None:
+                events.append(event)
                 tell(event)
 
-            host.tell = listen  # type: ignore[method-assign]
+            host.tell = record  # type: ignore[method-assign]
             name, port = host.xds_server.address.split(":")
             channel = Channel(name, int(port))
             path = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
@@ -316,30 +320,30 @@
                 answer = await stream.recv_message()
                 assert answer.send_all_clusters and answer.report_endpoint_granularity
                 report = lrs_pb2.LoadStatsRequest()
-                for cluster in ("3.w", "nonsense", "99.r"):  # the last two are left out
+                for cluster in ("3.w", "nonsense", "99.r"):  # the last two are not valid and left out
                     row = report.cluster_stats.add(cluster_name=cluster, total_dropped_requests=2)
                     row.load_report_interval.seconds = 1
                     locality = row.upstream_locality_stats.add(
                         total_successful_requests=7, total_error_requests=1
                     )
-                    one = locality.upstream_endpoint_stats.add(
+                    endpoint = locality.upstream_endpoint_stats.add(
                         total_successful_requests=7, total_error_requests=1
                     )
-                    one.address.socket_address.address, one.address.socket_address.port_value = (
+                    endpoint.address.socket_address.address, endpoint.address.socket_address.port_value = (
                         "127.0.0.1",
                         9000,
                     )
-                    one.load_metric_stats.add(metric_name="ms", total_metric_value=70.0)
+                    endpoint.load_metric_stats.add(metric_name="ms", total_metric_value=70.0)
                 await stream.send_message(report)
                 await until(
-                    lambda: sum(isinstance(event, interface.Met | interface.Came) for event in heard) >= 2
+                    lambda: sum(isinstance(event, interface.Met | interface.Came) for event in events) >= 2
                 )
                 await stream.end()
             channel.close()
-            met = [event for event in heard if isinstance(event, interface.Met)]
-            came = [event for event in heard if isinstance(event, interface.Came)]
-            assert met == [interface.Met("n0", "west", 1, 8, 10_000, 1_000_000, None)]
-            assert came == [interface.Came(3, "trade-order", 10, 1, 1_000_000)]
+            results = [event for event in events if isinstance(event, interface.Met)]
+            requests = [event for event in events if isinstance(event, interface.Came)]
+            assert results == [interface.Met("n0", "west", 1, 8, 10_000, 1_000_000, None)]
+            assert requests == [interface.Came(3, "trade-order", 10, 1, 1_000_000)]
 
     play(test())
 
@@ -373,31 +377,31 @@
         assert (await stream.recv_message()).resources
         return channel, stream
 
-    def trusting(authority: Any) -> ssl.SSLContext:
+    def context_for(authority: Any) -> ssl.SSLContext:
         context = ssl.create_default_context()
         context.set_alpn_protocols(["h2"])
         authority.configure_trust(context)
         return context
 
     async def test() -> None:
-        one, other = trustme.CA(), trustme.CA()
-        keys(one)
+        first_authority, second_authority = trustme.CA(), trustme.CA()
+        keys(first_authority)
         tls = 'tls { certificate_file: "cert.pem" key_file: "key.pem" }'
         async with controller(tmp_path, tls) as host:
-            channel, stream = await hello(host, trusting(one))
-            keys(other)
+            channel, stream = await hello(host, context_for(first_authority))
+            keys(second_authority)
             drain(host, "READY", tls=tls)
             assert not host.counters["host.reloads_refused"]
-            second, _ = await hello(host, trusting(other))
+            second, _ = await hello(host, context_for(second_authority))
             with pytest.raises((ssl.SSLError, OSError, StreamTerminatedError)):
-                await hello(host, trusting(one))
+                await hello(host, context_for(first_authority))
             (tmp_path / "cert.pem").write_text("spoilt")
             drain(host, "READY", tls=tls)
             assert host.counters["host.reloads_refused"] == 1
-            third, _ = await hello(host, trusting(other))  # the last good ones serve
+            third, _ = await hello(host, context_for(second_authority))  # the last valid keys stay in use
             assert len(host.xds_server.clients) == 3
-            for open_one in (channel, second, third):
-                open_one.close()
+            for open_channel in (channel, second, third):
+                open_channel.close()
             del stream
 
     play(test())
@@ -434,24 +438,24 @@
 
 @pytest.mark.parametrize("first", range(0, 24, 6))
 def test_no_rule_is_broken_where_streams_are_dropped_at_random(first: int) -> None:
-    """`lapispass lab xds --seeds N` plays more. A failing seed prints what led to it."""
+    """`lapispass lab xds --seeds N` runs more seeds. A failing seed prints the events that led to it."""
     logging.getLogger("lapispass").setLevel(logging.ERROR)
 
-    # What six days see in four seconds depends on the machine; each goes on until it has seen its part.
-    day = drops.Duration(seconds=4.0, most_s=120.0, writes=90, handovers=6, drops=10)
-    # Two at a time: six in one process need most of a core, and where it is shared they run into the times
-    # that the rules allow.
-    gate = asyncio.Semaphore(2)
+    # How much happens in four seconds depends on the machine, so each run goes on until its counts are met.
+    duration = drops.Duration(seconds=4.0, most_s=120.0, writes=90, handovers=6, drops=10)
+    # Two runs at a time: six in one process need most of a core, and on a shared core they would exceed the
+    # times that the rules allow.
+    semaphore = asyncio.Semaphore(2)
 
-    async def one(seed: int) -> drops.Verdict:
-        async with gate:
-            return await drops.play(seed, day)
+    async def run(seed: int) -> drops.Verdict:
+        async with semaphore:
+            return await drops.play(seed, duration)
 
     async def test() -> None:
-        verdicts = await asyncio.gather(*(one(seed) for seed in range(first, first + 6)))
+        verdicts = await asyncio.gather(*(run(seed) for seed in range(first, first + 6)))
         for verdict in verdicts:
             assert not verdict.breaches, str(verdict)
-            assert verdict.drops >= day.drops, str(verdict)
+            assert verdict.drops >= duration.drops, str(verdict)
         assert sum(verdict.handovers for verdict in verdicts) > 30
         assert sum(verdict.writes for verdict in verdicts) > 500
 
@@ -461,7 +465,7 @@
 @pytest.mark.parametrize(
     ("elapsed_s", "writes", "handovers", "broken", "over"),
     [
-        (3.9, 90, 6, False, False),  # its time is the least
+        (3.9, 90, 6, False, False),  # the minimum duration has not passed
         (4.0, 90, 6, False, True),
         (4.0, 89, 6, False, False),
         (4.0, 90, 5, False, False),
@@ -471,13 +475,13 @@
         (4.0, 0, 0, True, True),
     ],
 )
-def test_a_day_of_drops_goes_on_until_it_has_seen_its_counts(
+def test_a_run_of_dropped_streams_goes_on_until_its_counts_are_met(
     elapsed_s: float, writes: int, handovers: int, broken: bool, over: bool
 ) -> None:
-    day = drops.Duration(seconds=4.0, most_s=120.0, writes=90, handovers=6, drops=10)
+    duration = drops.Duration(seconds=4.0, most_s=120.0, writes=90, handovers=6, drops=10)
     breaches = [Breach("2", "a", 0, "")] if broken else []
     verdict = drops.Verdict(0, breaches, handovers=handovers, drops=10)
-    assert day.is_over(elapsed_s, verdict, writes) == over
+    assert duration.is_over(elapsed_s, verdict, writes) == over
 
 
 def test_the_checker_sees_a_write_at_a_former_owner() -> None:
@@ -492,8 +496,8 @@
     assert slice_of("k", 1) == 0
 
 
-def test_a_client_that_stood_still_has_the_grace_of_a_drain_from_when_it_goes_on(tmp_path: Path) -> None:
-    # In the instant in which it went on it counted as late by all the time that it had stood still.
+def test_a_paused_client_has_the_grace_period_of_a_drain_from_when_it_resumes(tmp_path: Path) -> None:
+    # At the moment when the client resumed it counted as late by the whole duration of its pause.
     async def test() -> None:
         day = drops.Day(1, tmp_path, drops.Duration())
         begun = clock_us() - 5_000_000
@@ -522,8 +526,8 @@
     play(test())
 
 
-def test_the_life_of_a_write_runs_from_its_decision(tmp_path: Path) -> None:
-    # It ran from the first step of its task, which may come long after, behind a commit that blocks.
+def test_the_lifetime_of_a_write_starts_when_it_is_decided(tmp_path: Path) -> None:
+    # It started with the first step of the write's task, which may run much later, after a blocking commit.
     async def test() -> None:
         day = drops.Day(1, tmp_path, drops.Duration())
         await day.carry("n0", "k1", "c0-1", clock_us() - 160_000)
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -80,7 +80,7 @@
     assert watch.next_update(NOW, 100) is None
 
 
-def test_a_write_resource_counts_from_its_first_change_that_is_not_acknowledged() -> None:
+def test_a_write_table_counts_from_its_first_change_that_is_not_acknowledged() -> None:
     cache = make_cache()
     publish(cache, "a", 1)
     watch = make_watch(cache)
@@ -114,7 +114,7 @@
     assert watch.acked_turn > 10**9 and not watch.nacked
 
 
-def test_a_wrong_an_outdated_and_a_repeated_nonce_have_no_effect() -> None:
+def test_a_wrong_an_old_and_a_second_nonce_mean_nothing() -> None:
     cache = make_cache()
     watch = make_watch(cache)
     update = watch.next_update(NOW, 100)
@@ -378,7 +378,7 @@
     assert step.left == 5 and [update.removed for update in step.updates] == [(WRITES,)]
 
 
-def test_a_renewal_waits_for_the_answer_to_the_previous_one() -> None:
+def test_a_renewal_waits_for_the_one_before() -> None:
     cache = make_cache()
     client, numbers = make_client(cache)
     settle(client, numbers)
@@ -416,7 +416,7 @@
     assert [step.joined for step in steps if step.joined is not None] == [5]
 
 
-def test_a_proxy_number_is_allocated_again_only_after_a_lease() -> None:
+def test_a_number_is_used_again_only_after_its_lease() -> None:
     numbers = ProxyNumbers(5, 2 * SECOND)
     assert numbers.allocate(NOW) == 5
     numbers.release(NOW, 5)
--- a/tests/test_xds_first_message.py
+++ b/tests/test_xds_first_message.py
@@ -1,4 +1,4 @@
-"""The first message of an xDS stream, and a process that stood still while it came."""
+"""The time-out of the first message of an xDS stream, also while the server process is paused."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @asynccontextmanager
 async def opened_stream(address: str) -> AsyncIterator[Any]:
-    """A stream whose request headers were sent, and no message yet."""
+    """A stream on which the request headers have been sent, and no message."""
     host, _, port = address.rpartition(":")
     channel = Channel(host, int(port))
     method: Any = StreamStreamMethod(
@@ -50,8 +50,8 @@
     return request
 
 
-def test_a_first_message_that_came_while_the_process_stood_still_is_answered(tmp_path: Path) -> None:
-    """The time limit of the first message won over the message that had come: the stream was ended."""
+def test_a_first_message_that_came_while_the_process_was_paused_is_answered(tmp_path: Path) -> None:
+    """The time-out of the first message took precedence over the message that had arrived in the pause."""
 
     async def test() -> None:
         async with (
@@ -71,11 +71,11 @@
 def test_a_stream_without_a_first_message_is_ended_with_its_reason(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # It ended with an unknown status, and a raw trace in the log.
+    # It ended with the status UNKNOWN, and with a traceback in the log.
     async def test() -> None:
         monkeypatch.setattr(xds_server, "STREAM_TIMEOUT_S", 0.3)
         async with controller(tmp_path) as host:
-            with pytest.raises(GRPCError) as caught:  # by the read, and again where the stream is left
+            with pytest.raises(GRPCError) as caught:  # raised by the read, and again at the end of the block
                 async with opened_stream(host.xds_server.address) as stream:
                     await asyncio.wait_for(stream.recv_message(), 3)
             assert caught.value.status is Status.DEADLINE_EXCEEDED
--- a/tests/test_xds_late_readers.py
+++ b/tests/test_xds_late_readers.py
@@ -1,4 +1,4 @@
-"""xDS clients that stand still between the arrival of a response and its reading."""
+"""xDS clients that pause between the arrival of a response and reading it."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 SLICES = range(6)
 
 
-class StoppedAtGrant(XdsClient):
-    """A client whose second stream stops after it has received the write listener, before it is read."""
+class PausedAtGrant(XdsClient):
+    """A client that pauses on its second stream when the write listener has arrived and is not read yet."""
 
-    is_stopped = False
-    picks: tuple[str | None, ...] = ()  # where writes went once the listener had been read
+    is_paused = False
+    picks: tuple[str | None, ...] = ()  # the servers that writes go to, right after the listener was read
 
     async def take(self, stream: Any, message: Any) -> None:
-        grants = [one.name for one in message.resources if one.HasField("resource")]
+        grants = [resource.name for resource in message.resources if resource.HasField("resource")]
         is_grant = KINDS[message.type_url] == "lds" and WRITES in grants
         if is_grant and self.streams == 2:
-            self.is_stopped = self.frozen = True
+            self.is_paused = self.frozen = True
             while self.frozen:
                 await asyncio.sleep(0.005)
             self.applied = self.record_picks
@@ -38,53 +38,53 @@
         self.applied = lambda _: None
 
 
-async def stop_at_grant(host: Host, client: StoppedAtGrant) -> None:
-    """The client has the grant unread when its stream is cut, and a server that it writes to drains."""
+async def pause_at_grant(host: Host, client: PausedAtGrant) -> None:
+    """Cuts the client's stream while it has not read the grant, and drains a server that it writes to."""
     await until(lambda: {client.writes_to(number) for number in SLICES} == {"n0", "n1"})
     client.drop()
-    await until(lambda: client.is_stopped)
+    await until(lambda: client.is_paused)
     client.drop()
     await until(lambda: not host.xds_server.clients)
     drain(host)
 
 
-@pytest.mark.parametrize("stopped_s", [0.0, 0.3])
+@pytest.mark.parametrize("paused_s", [0.0, 0.3])
 def test_a_grant_read_within_the_allowed_time_after_its_stream_was_cut_writes_at_no_former_owner(
-    tmp_path: Path, stopped_s: float
+    tmp_path: Path, paused_s: float
 ) -> None:
-    """Guards rule 2 where a grant is read within `late_ms` of the end of its stream."""
+    """Rule 2 holds if the grant is read within `late_ms` of the end of its stream."""
 
     async def test() -> None:
         async with controller(tmp_path) as host:
-            client = StoppedAtGrant(host.xds_server.address, "c0", 1)
+            client = PausedAtGrant(host.xds_server.address, "c0", 1)
             async with clients(client):
-                await stop_at_grant(host, client)
-                await asyncio.sleep(stopped_s)
+                await pause_at_grant(host, client)
+                await asyncio.sleep(paused_s)
                 client.frozen = False
                 await until(lambda: client.picks)
-                late: set[str | None] = set()
+                targets: set[str | None] = set()
 
                 def is_handed_over() -> bool:
                     owners = host.store.owners()
                     for number in SLICES:
                         if owners.get(number) == "n1":
-                            late.add(client.writes_to(number))
+                            targets.add(client.writes_to(number))
                     return set(owners.values()) == {"n1"}
 
                 await until(is_handed_over)
-                assert late <= {None, "n1"}
+                assert targets <= {None, "n1"}
 
     play(test())
 
 
 def test_a_grant_read_long_after_its_stream_was_cut_writes_at_no_former_owner(tmp_path: Path) -> None:
-    """Guards rule 2 where a stopped client reads its grant after the slices have new owners."""
+    """Rule 2 holds if a paused client reads its grant after the slices have new owners."""
 
     async def test() -> None:
         async with controller(tmp_path) as host:
-            client = StoppedAtGrant(host.xds_server.address, "c0", 1)
+            client = PausedAtGrant(host.xds_server.address, "c0", 1)
             async with clients(client):
-                await stop_at_grant(host, client)
+                await pause_at_grant(host, client)
                 await until(lambda: set(host.store.owners().values()) == {"n1"})
                 client.frozen = False
                 await until(lambda: client.picks)
