--- a/tests/soak_xds.py
+++ b/tests/soak_xds.py
@@ -1,11 +1,13 @@
-"""Days of xDS clients that use a real controller process until it is killed.
+"""Soak test of xDS: clients use a real controller process, under random faults, until it is killed.
 
-As in `soak.py`, each day draws faults of system calls, steps of the wall clock, pauses, signals in series and
-a crowd from its seed; a server drains and comes back meanwhile. Each request on a stream gets its response,
-or the end of the stream, within `ANSWER_S`. The judge looks at where clients would write each slice: between
-the last write to one server and the first to another lies the longest life of a write, whoever writes.
+As in `soak.py`, each run draws faults of system calls, steps of the wall clock, pauses, series of signals and
+a crowd of clients from its seed. Meanwhile servers drain and become ready again. Two rules are checked. Each
+request on a stream gets its response, or the end of the stream, within `ANSWER_S`. And between the last write
+of a slice to one server and the first to another, by any client, at least the longest lifetime of a write
+passes.
 
-By hand: `PYTHONPATH=. python tests/soak_xds.py --seeds 20 --seed 1000 --at-once 2`; 1 where one is broken.
+By hand: `PYTHONPATH=. python tests/soak_xds.py --seeds 20 --seed 1000 --at-once 2`. The exit code is 1 if a
+rule was broken.
 """
 
 from __future__ import annotations
@@ -29,25 +31,25 @@
 from lapispass.standins.xds_client import ADS, GONE, URLS, XdsClient
 from lapispass.standins.xds_client import Faults as ClientFaults
 
-ANSWER_S = 3.0  # for a response or the end of its stream, of time in which the process runs
-WRITE_LIFE_S = 0.1  # as the operator file says
-PICK_S = 0.005  # between two looks at where clients would write
-DROP_CHANCE = 0.003  # at each of these looks, of one client's stream
-MOVE_S = 4.0  # for the move of most slices
-ASKERS, CROWD = 6, 100
+ANSWER_S = 3.0  # limit for a response or the end of its stream; pauses of the process do not count
+WRITE_LIFE_S = 0.1  # `write_life_ms` of the operator file
+PICK_S = 0.005  # between two samples of where clients would write
+DROP_CHANCE = 0.003  # probability that one client's stream is cut, at each sample
+MOVE_S = 4.0  # limit for most slices to move
+REQUESTERS, CROWD = 6, 100
 JUNK = (PING, b"odd\r\n" * 10, b"\x16\x03\x01" * 20, b"GET / HTTP/1.1\r\n\r\n" * 2, b"x" * 9000)
 
 
 @dataclass
 class Writes:
-    """Where the slices were last written, by any client."""
+    """Where each slice was written last, by any client."""
 
-    last: dict[int, tuple[float, str]] = field(default_factory=dict)
+    last: dict[int, tuple[float, str]] = field(default_factory=dict)  # (time, server) by slice
     count: int = 0
     moves: int = 0
 
     def write(self, now: float, number: int, node: str) -> str:
-        """What is wrong with a write to this server now, if anything."""
+        """Records a write; returns a message if it breaks the rule, otherwise an empty text."""
         self.count += 1
         before_at, before = self.last.get(number, (now, node))
         self.last[number] = now, node
@@ -61,22 +63,22 @@
 
 @dataclass
 class XdsDay(Day):
-    """One controller's life, and where its clients and those of the former one have written."""
+    """One controller process, and where its clients and those of the previous process have written."""
 
     folder: Path = Path()
     writes: Writes = field(default_factory=Writes)
 
 
-class Asker:
-    """A client that asks again and again on one stream."""
+class Requester:
+    """A client that sends one request after the other on one stream."""
 
     def __init__(self, day: XdsDay, name: str) -> None:
         self.day, self.name = day, name
         host, port = day.running.address
         self.channel = Channel(host, port)
 
-    async def live(self, most: int) -> None:
-        """Opens a stream and asks until it ends, `most` times at the most."""
+    async def run(self, max_requests: int) -> None:
+        """Opens a stream and sends up to `max_requests` requests, until it ends."""
         method: Any = StreamStreamMethod(
             self.channel,
             ADS + "DeltaAggregatedResources",
@@ -85,28 +87,28 @@
         )
         try:
             async with method.open() as stream:
-                await self.converse(stream, most)
+                await self.send_requests(stream, max_requests)
                 await stream.cancel()
         except GONE:
             pass
         finally:
             self.channel.close()
 
-    async def converse(self, stream: Any, most: int) -> None:
-        """Asks for a slice's servers, which the server sends anew each time."""
+    async def send_requests(self, stream: Any, max_requests: int) -> None:
+        """Subscribes to a slice's assignment again and again; the server has to send it each time."""
         request = discovery_pb2.DeltaDiscoveryRequest(type_url=URLS["eds"])
         request.node.id = self.name
-        for number in range(most):
+        for number in range(max_requests):
             name = f"{number % SLICES}.r"
             request.resource_names_subscribe.append(name)
-            response = await self.ask(stream, request, name)
+            response = await self.exchange(stream, request, name)
             if response is None:
                 return
             request = discovery_pb2.DeltaDiscoveryRequest(type_url=URLS["eds"], response_nonce=response.nonce)
             await asyncio.sleep(self.day.chance.choice((0, 0, 0.01, 0.1)))
 
-    async def ask(self, stream: Any, request: Any, name: str) -> Any:
-        """The response that has the name; none where the stream has ended."""
+    async def exchange(self, stream: Any, request: Any, name: str) -> Any:
+        """Sends a request; returns the response that contains the name, or None if the stream has ended."""
         day, loop = self.day, asyncio.get_running_loop()
         begun = loop.time()
         day.verdict.asked += 1
@@ -120,7 +122,7 @@
                         took_s = loop.time() - begun - day.paused_s(begun)
                         day.verdict.slowest_s = max(day.verdict.slowest_s, took_s)
                     return response
-            day.breach(f"{self.name}: neither a response nor an end within {ANSWER_S} s")
+            day.breach(f"{self.name}: neither a response nor the end of its stream within {ANSWER_S} s")
             return None
         finally:
             task.cancel()
@@ -137,26 +139,26 @@
         return None
 
 
-async def ask_on(day: XdsDay, name: str) -> None:
-    """One stream after the other, each kept until its end, or for a few requests."""
-    lives = 0
+async def request_on_streams(day: XdsDay, name: str) -> None:
+    """Opens one stream after the other; each ends by itself or after a few requests."""
+    streams = 0
     while not day.told_to_end:
-        lives += 1
-        await Asker(day, f"{name}.{lives}").live(day.chance.choice((1, 5, 1_000_000)))
+        streams += 1
+        await Requester(day, f"{name}.{streams}").run(day.chance.choice((1, 5, 1_000_000)))
         await asyncio.sleep(0.01)
 
 
 async def crowd(day: XdsDay) -> None:
-    """Many streams at once, each with a request."""
+    """Opens many streams at once, each for one request."""
     while not day.told_to_end:
-        await asyncio.gather(*(Asker(day, f"crowd.{number}").live(1) for number in range(CROWD)))
+        await asyncio.gather(*(Requester(day, f"crowd.{number}").run(1) for number in range(CROWD)))
         await asyncio.sleep(0.1)
 
 
-async def misbehave(day: XdsDay) -> None:
-    """Connections that speak no HTTP/2: each is owed a close."""
+async def send_junk(day: XdsDay) -> None:
+    """Opens connections that do not speak HTTP/2; the server has to close each."""
 
-    async def one(junk: bytes) -> None:
+    async def send(junk: bytes) -> None:
         try:
             reader, writer = await day.running.connect()
         except OSError:
@@ -169,16 +171,16 @@
                     pass
         except OSError as error:
             if isinstance(error, TimeoutError) and not day.paused_s(begun):
-                day.breach(f"no close for {junk[:20]!r}")
+                day.breach(f"a connection that sent {junk[:20]!r} was not closed")
         writer.close()
 
     while not day.told_to_end:
-        await asyncio.gather(*(one(day.chance.choice(JUNK)) for _ in range(5)))
+        await asyncio.gather(*(send(day.chance.choice(JUNK)) for _ in range(5)))
         await asyncio.sleep(0.05)
 
 
 def writers(address: tuple[str, int]) -> list[XdsClient]:
-    """Clients that stay for the whole day: sound ones, slow ones, and some that come back late."""
+    """Clients that exist for the whole run: some without faults, some slow, some that reconnect late."""
     faults = [
         ClientFaults(),
         ClientFaults(slow_s=0.05),
@@ -188,16 +190,16 @@
         ClientFaults(late_s=0.2),
     ]
     return [
-        XdsClient("{}:{}".format(*address), f"w{place}", place, place % 3 != 2, faults=fault)
-        for place, fault in enumerate(faults)
+        XdsClient("{}:{}".format(*address), f"w{index}", index, index % 3 != 2, faults=fault)
+        for index, fault in enumerate(faults)
     ]
 
 
 async def write(
     clients: Sequence[XdsClient], verdict: Verdict, writes: Writes, chance: random.Random
 ) -> None:
-    """Clients that write each slice again and again, whether there is a controller or not."""
-    lives = [asyncio.create_task(client.run()) for client in clients]
+    """Has each client write each slice again and again, whether the controller runs or not."""
+    tasks = [asyncio.create_task(client.run()) for client in clients]
     loop = asyncio.get_running_loop()
     try:
         while True:
@@ -210,13 +212,13 @@
                 if wrong:
                     verdict.breaches.append(f"rule 2: {client.name}: {wrong}")
     finally:
-        for task in lives:
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*lives, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
 
 
 async def deploy(day: XdsDay) -> None:
-    """The server that has the slices drains, the other one is ready again; so again when they have moved."""
+    """Drains the server that owns the slices and makes the other ready, each time when they have moved."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(day.chance.uniform(0.3, 0.8))
     while not day.told_to_end:
@@ -229,28 +231,29 @@
 
 
 def clients_of(day: XdsDay, round_number: int) -> list[Coroutine[Any, Any, None]]:
-    clients = [ask_on(day, f"{round_number}.{number}") for number in range(ASKERS)]
-    clients += [misbehave(day), deploy(day)]
+    """The tasks of a run that depend on its controller process."""
+    clients = [request_on_streams(day, f"{round_number}.{number}") for number in range(REQUESTERS)]
+    clients += [send_junk(day), deploy(day)]
     if day.is_crowded:
         clients += [crowd(day)]
     return clients
 
 
 async def play_day(seed: int, folder: Path) -> Verdict:
-    """A day, with two controllers at one address and one store, one after the other."""
+    """A run with two controller processes, one after the other, at the same address and with one store."""
     chance, verdict, writes = random.Random(seed), Verdict(seed), Writes()
     faults, address = Faults(folder / "faults"), free_address()
     is_crowded = chance.random() < 0.4
     writing = asyncio.create_task(write(writers(address), verdict, writes, chance))
     for round_number in range(2):
-        faults.clear(Call.PIPE)  # the log says when the controller listens
+        faults.clear(Call.PIPE)  # the log has to arrive, as it shows when the controller listens
         before = writes.count
         try:
             async with xds_controller(folder, faults, address) as running:
                 day = XdsDay(running, chance, verdict, is_crowded, folder=folder, writes=writes)
                 await life(day, clients_of(day, round_number))
         except NotStarted as error:
-            verdict.breaches.append(f"not started: {error}")
+            verdict.breaches.append(f"the controller did not start: {error}")
         if writes.count == before:
             verdict.breaches.append("no client could write")
     writing.cancel()
@@ -259,12 +262,12 @@
         writing.result()
     verdict.figures = {"writes": writes.count, "moves": writes.moves}
     if not writes.moves:
-        verdict.breaches.append("no slice has moved")
+        verdict.breaches.append("no slice moved to another server")
     return verdict
 
 
 def play_seed(seed: int) -> Verdict:
-    """A day on a loop of its own."""
+    """Plays a run in an event loop and a folder of its own."""
     with TemporaryDirectory(prefix="lapispass-soak-") as folder:
         return asyncio.run(play_day(seed, Path(folder)))
 
--- a/tests/test_soak_xds.py
+++ b/tests/test_soak_xds.py
@@ -1,4 +1,4 @@
-"""Short days of the xDS soak; `soak_xds.py` says how to start the long run by hand."""
+"""Short runs of the xDS soak test, and tests of its checks; `soak_xds.py` says how to start long runs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import soak_xds
 from parties import play
 from soak import Verdict
-from soak_xds import WRITE_LIFE_S, Asker, Writes, XdsDay, play_day
+from soak_xds import WRITE_LIFE_S, Requester, Writes, XdsDay, play_day
 
 
 @pytest.mark.parametrize("seed", range(1, 3))
@@ -29,7 +29,7 @@
     ("node", "after_s", "is_wrong"),
     [("n0", 0.0, False), ("n1", WRITE_LIFE_S * 1.01, False), ("n1", WRITE_LIFE_S * 0.99, True)],
 )
-def test_the_judge_sees_a_slice_that_is_written_at_two_servers(
+def test_a_slice_that_is_written_at_two_servers_is_detected(
     node: str, after_s: float, is_wrong: bool
 ) -> None:
     writes = Writes()
@@ -39,7 +39,7 @@
 
 
 class SilentStream:
-    """A stream on which nothing comes."""
+    """A stream on which nothing is received."""
 
     async def send_message(self, message: Any) -> None:
         pass
@@ -48,12 +48,12 @@
         await asyncio.Event().wait()
 
 
-def test_the_judge_sees_a_request_without_a_response(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_without_a_response_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(soak_xds, "ANSWER_S", 0.3)
         running = SimpleNamespace(address=("127.0.0.1", 1), lines=[])
         day = XdsDay(running, random.Random(1), Verdict(1), is_crowded=False)  # type: ignore[arg-type]
-        assert await Asker(day, "c").ask(SilentStream(), None, "0.r") is None
+        assert await Requester(day, "c").exchange(SilentStream(), None, "0.r") is None
         assert len(day.verdict.breaches) == 1 and "neither" in day.verdict.breaches[0]
 
     play(test())
--- a/tests/xds_process.py
+++ b/tests/xds_process.py
@@ -1,4 +1,4 @@
-"""A real xDS controller process, and its operator file."""
+"""Starts a real controller process that serves xDS clients, with its operator file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def write_file(folder: Path, address: tuple[str, int], draining: str = "") -> Path:
-    """The operator file, with at most one server that drains."""
+    """Writes the operator file, in which at most one server drains."""
     file = folder / "operator.textproto"
     states = {name: "DRAINING" if name == draining else "READY" for name in ("n0", "n1")}
     file.write_text(FILE.format(listen="{}:{}".format(*address), **states))
@@ -29,7 +29,7 @@
 
 
 def drain(running: Controller, folder: Path, name: str) -> None:
-    """Tells the running process that this server drains, and no other one."""
+    """Drains this server and makes the other ready, and has the running process read the file again."""
     write_file(folder, running.address, name)
     running.signal(signal.SIGHUP)
 
@@ -38,7 +38,7 @@
 async def xds_controller(
     folder: Path, faults: Faults | None = None, address: tuple[str, int] | None = None
 ) -> AsyncIterator[Controller]:
-    """The process, once it listens."""
+    """Starts the process and waits until it listens; ends it afterwards."""
     faults, address = faults or Faults(folder / "faults"), address or free_address()
     file = write_file(folder, address)
     async with process(("run", "-o", str(file)), faults, address, "listening", {}) as running:
