--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -130,8 +130,8 @@
     return replace(
         fleet_parties.deployment(fleet_parties.Size()),
         classes=(
-            interface.VisitClass("look", 1_500_000, 5_000_000, 1.0, False, False),
-            interface.VisitClass("pay", 1_500_000, 5_000_000, 2.0, True, False),
+            interface.RequestClass("look", 1_500_000, 5_000_000, 1.0, False, False),
+            interface.RequestClass("pay", 1_500_000, 5_000_000, 2.0, True, False),
         ),
         zones=ZONES,
         proxies=proxies,
@@ -375,7 +375,7 @@
     def write(count: int) -> list[bytes]:
         calls = Calls("127.0.0.1:1", CODEC, LIMITS, Counters())
         lines: list[interface.Order] = [
-            interface.Own(number, f"s-{number:08x}", 1.0) for number in range(count)
+            interface.SetTableEntry(number, f"s-{number:08x}", 1.0) for number in range(count)
         ]
         return [words.call(item.text for item in part) for part in calls.parts(lines)]
 
@@ -430,7 +430,7 @@
             running.start(f"s-{number}", address)
         while len(heard) < count:
             await asyncio.sleep(0.005)
-        assert all(isinstance(event, interface.Probed) and event.reason == 0 for event in heard), (
+        assert all(isinstance(event, interface.ProbeResult) and event.reason == 0 for event in heard), (
             "a probe failed"
         )
         return time.process_time() - began, time.perf_counter() - began_wall
--- a/benchmarks/registry_herd.py
+++ b/benchmarks/registry_herd.py
@@ -15,7 +15,7 @@
 
 from lapispass import interface
 from lapispass.controller import Controller
-from lapispass.core.units import SECOND
+from lapispass.core.units import SECOND_US
 from lapispass.standins.fleet_parties import Size, deployment
 
 MS = 1000
@@ -23,23 +23,23 @@
 
 def settings() -> interface.Deployment:
     """The stand-in fleet's settings; servers are not probed, since only calls to the registry are counted."""
-    return replace(deployment(Size(controllers=1, proxies=1, servers=1, slices_each=1)), may_probe=False)
+    return replace(deployment(Size(controllers=1, proxies=1, servers=1, slices_each=1)), probes_allowed=False)
 
 
 def play(
     count: int, down_s: float, all_s: float, turned_away: float, grows: bool, seed: int
 ) -> tuple[list[int], float]:
     """Calls in each second from the moment that all watches end, and when the last one was served."""
-    now = 100 * SECOND
-    begin, up_at = now, now + int(down_s * SECOND)
-    cost = all_s * SECOND / count  # of a call, in us of the registry's time
+    now = 100 * SECOND_US
+    begin, up_at = now, now + int(down_s * SECOND_US)
+    cost = all_s * SECOND_US / count  # of a call, in us of the registry's time
     controllers = [Controller(settings(), seed + n, now) for n in range(count)]
-    news: list[list[interface.Event]] = [[interface.Listed("lost", ())] for _ in controllers]
+    news: list[list[interface.Event]] = [[interface.RegistryUpdate("lost", ())] for _ in controllers]
     for controller in controllers:
         controller.turn(now, [])
     busy_until, calls, served = float(now), [0] * 120, [0] * count
-    later: list[tuple[float, int, interface.Listed]] = []
-    while min(served) == 0 and now < begin + 119 * SECOND:
+    later: list[tuple[float, int, interface.RegistryUpdate]] = []
+    while min(served) == 0 and now < begin + 119 * SECOND_US:
         now += 10 * MS
         for _, who, event in [one for one in later if one[0] <= now]:
             news[who].append(event)
@@ -50,21 +50,21 @@
             if served[who] or (not news[who] and now < controller.woken_at):
                 continue
             if not grows:
-                controller.registry.patience_us = min(SECOND, controller.registry.patience_us)
+                controller.registry.patience_us = min(SECOND_US, controller.registry.patience_us)
             orders, news[who] = controller.turn(now, news[who]), []
-            if interface.Follow() not in orders:
+            if interface.WatchRegistry() not in orders:
                 continue
-            calls[(now - begin) // SECOND] += 1
+            calls[(now - begin) // SECOND_US] += 1
             busy_until = max(busy_until, float(now))
             if now < up_at:
-                later.append((now + 5 * MS, who, interface.Listed("lost", ())))
-            elif busy_until - now > SECOND:
+                later.append((now + 5 * MS, who, interface.RegistryUpdate("lost", ())))
+            elif busy_until - now > SECOND_US:
                 busy_until += turned_away * cost
-                later.append((now + SECOND, who, interface.Listed("lost", ())))
+                later.append((now + SECOND_US, who, interface.RegistryUpdate("lost", ())))
             else:
                 busy_until += cost
-                later.append((busy_until, who, interface.Listed("changes", ())))
-    return calls, (max(served) - begin) / SECOND if min(served) else float("inf")
+                later.append((busy_until, who, interface.RegistryUpdate("changes", ())))
+    return calls, (max(served) - begin) / SECOND_US if min(served) else float("inf")
 
 
 def main() -> None:
--- a/benchmarks/xds_streams.py
+++ b/benchmarks/xds_streams.py
@@ -48,7 +48,7 @@
 print("open", turn, flush=True)
 while True:
     turn += 1
-    store.commit([interface.Own(number, f"t{turn}", 1.0) for number in range(64)])
+    store.commit([interface.SetTableEntry(number, f"t{turn}", 1.0) for number in range(64)])
     print(turn, flush=True)
 """
 
@@ -77,7 +77,7 @@
     file = folder / "operator.textproto"
     file.write_text(file_of(told.slices, ""))
     store = Assignments(folder / "store", told.slices)
-    store.commit([interface.Own(number, f"n{number % 10}", 1.0) for number in range(told.slices)])
+    store.commit([interface.SetTableEntry(number, f"n{number % 10}", 1.0) for number in range(told.slices)])
     store.close()
     host = Host(operator.read(file), told.seed)
     running = asyncio.create_task(host.run())
--- a/lapispass/controller.py
+++ b/lapispass/controller.py
@@ -16,7 +16,7 @@
 from lapispass.core.agenda import Agenda
 from lapispass.core.fleet_index import FleetIndex
 from lapispass.core.handover_state import HandoverState, Progress, handover_state, progress
-from lapispass.core.messages import Standing
+from lapispass.core.messages import ServerStatus
 from lapispass.core.random_source import RandomSource
 from lapispass.core.turn import Turn
 from lapispass.core.units import NEVER
@@ -39,7 +39,7 @@
         self.channel = Channel(self.current, self.rules, told.proxies)
         kind = Ledger if told.slices else Spread
         self.table: Ledger | Spread = kind(self.current, self.rules, self.fleet, self.channel)
-        self.registry = RegistryRetry(self.current, now if told.asks_for_list else NEVER)
+        self.registry = RegistryRetry(self.current, now if told.subscribes_to_registry else NEVER)
         self.woken_at, self.looked_at = -1, now - self.rules.look_us
         self.follows_list = False  # without a gap since it last told something
 
@@ -50,7 +50,7 @@
         for event in events:
             self.route(event)
         if self.registry.asks():
-            turn.orders.append(interface.Follow())
+            turn.orders.append(interface.WatchRegistry())
         prompt = any(isinstance(event, PROMPT) for event in events)
         if prompt or now >= self.look_at():
             self.look()
@@ -62,7 +62,7 @@
         # Guards the process of a large fleet: late reports and answers come in every turn, and a look for
         # each would leave no time to read what is urgent.
         now, table = self.current.now, self.table.next_look(self.current.now, self.channel.joined)
-        due = now if self.current.touched else min(self.agenda.next(), table)
+        due = now if self.current.updated_servers else min(self.agenda.next(), table)
         return max(due, self.looked_at + self.rules.look_us) if due < NEVER else NEVER
 
     def look(self) -> None:
@@ -70,8 +70,8 @@
         turn = self.current
         self.looked_at = turn.now
         self.table.read_rates()
-        due = {*turn.touched, *self.agenda.due(turn.now)}
-        turn.touched.clear()
+        due = {*turn.updated_servers, *self.agenda.due(turn.now)}
+        turn.updated_servers.clear()
         for server in self.fleet.in_order(due):
             self.agenda.set(server.number, server.visit())
             if server.state == "past" and self.table.forget(server.number):
@@ -87,9 +87,9 @@
         now, at = self.current.now, min(self.look_at(), self.registry.ask_at)
         if at < NEVER and (self.woken_at <= now or at < self.woken_at):
             self.woken_at = max(at, now + 1)
-            self.current.orders.append(interface.Wake(0, self.woken_at))
+            self.current.orders.append(interface.SetTimer(0, self.woken_at))
 
-    def standings(self) -> list[Standing]:
+    def standings(self) -> list[ServerStatus]:
         """How each server stood when it was last looked at, for fronts that hold connections there."""
         return [server.standing() for server in self.backends.values()]
 
@@ -116,36 +116,36 @@
     def route(self, event: interface.Event) -> None:
         """Tells the parts that an event concerns."""
         match event:
-            case interface.Listed():
+            case interface.RegistryUpdate():
                 self.take_list(event)
-            case interface.Met(number) if server := self.backends.get(number):
-                self.current.report_came()
+            case interface.ServerReport(number) if server := self.backends.get(number):
+                self.current.report_received()
                 server.met(event)
-                self.current.touched.add(number)
-            case interface.Probed(number, reason) if server := self.backends.get(number):
+                self.current.updated_servers.add(number)
+            case interface.ProbeResult(number, reason) if server := self.backends.get(number):
                 server.probed(reason)
-                self.current.touched.add(number)
-            case interface.Holding(number, load) if server := self.backends.get(number):
+                self.current.updated_servers.add(number)
+            case interface.HeldConnectionLoad(number, load) if server := self.backends.get(number):
                 server.held = load
-                self.current.touched.add(number)
-            case interface.Came():
+                self.current.updated_servers.add(number)
+            case interface.RequestReport():
                 self.table.came(event)
-            case interface.Given(number, ours):
+            case interface.SliceGrant(number, ours):
                 self.table.given(number, ours)
-            case interface.Held(number, backend):
+            case interface.StoredOwner(number, backend):
                 if backend not in self.backends:  # up until a probe fails
-                    self.list_entry(interface.Entry(backend, "", "gone", None, None), False)
+                    self.list_entry(interface.RegistryEntry(backend, "", "gone", None, None), False)
                     self.backends[backend].probed(0)
                 self.table.held(number, backend)
-            case interface.Joined():
+            case interface.ProxyJoined():
                 self.table.joined(event, self.channel.join(event))
-            case interface.Left(proxy):
+            case interface.ProxyLeft(proxy):
                 self.channel.leave(proxy)
                 self.table.left(proxy)
-            case interface.Answered():
+            case interface.BarrierAck():
                 self.channel.answer(event)
 
-    def take_list(self, news: interface.Listed) -> None:
+    def take_list(self, news: interface.RegistryUpdate) -> None:
         """What the registry tells; where it was lost, it is asked again."""
         live = self.follows_list and news.kind == "changes"
         if news.kind == "lost":
@@ -159,10 +159,10 @@
             named = {entry.backend for entry in news.entries}
             missing = [server for number, server in self.backends.items() if number not in named]
             for server in missing:
-                entry = interface.Entry(server.number, server.zone, "gone", server.weight, None)
+                entry = interface.RegistryEntry(server.number, server.zone, "gone", server.weight, None)
                 self.list_entry(entry, False)
 
-    def list_entry(self, entry: interface.Entry, remembered: bool, live: bool = False) -> None:
+    def list_entry(self, entry: interface.RegistryEntry, remembered: bool, live: bool = False) -> None:
         """One server of the list; one told as before costs nothing."""
         if (server := self.backends.get(entry.backend)) is None:
             server = Backend(self.current, entry.backend, self.fleet.next_place(), self.rules)
@@ -172,4 +172,4 @@
         elif entry == server.entry:
             return
         server.list_entry(entry, live)
-        self.current.touched.add(entry.backend)
+        self.current.updated_servers.add(entry.backend)
--- a/lapispass/core/channel_state.py
+++ b/lapispass/core/channel_state.py
@@ -7,7 +7,7 @@
 
 from lapispass import interface
 from lapispass.core.decay import DecayingSum
-from lapispass.core.messages import Missed
+from lapispass.core.messages import MissedOrders
 from lapispass.core.proxies import Proxies
 from lapispass.core.turn import Turn
 
@@ -36,24 +36,24 @@
         """How many proxies' streams stand."""
         return len(self.proxies.joined)
 
-    def join(self, event: interface.Joined) -> Missed:
+    def join(self, event: interface.ProxyJoined) -> MissedOrders:
         """A proxy's stream stands."""
         self.unmarked = True
-        return Missed(event.first, self.proxies.join(event, self.lines, self.turn.now).took)
+        return MissedOrders(event.first_stream, self.proxies.join(event, self.lines, self.turn.now).took)
 
     def leave(self, proxy: int) -> None:
         """A proxy's stream has ended."""
         self.proxies.leave(proxy, self.turn.now)
 
-    def answer(self, event: interface.Answered) -> None:
+    def answer(self, event: interface.BarrierAck) -> None:
         """A proxy has applied everything up to a mark."""
         now, proxy = self.turn.now, self.proxies.joined.get(event.proxy)
         if proxy is None:
             return
-        self.proxies.answer(proxy, self.mark - (self.mark - event.mark) % MARKS, self.mark, now)
+        self.proxies.answer(proxy, self.mark - (self.mark - event.barrier) % MARKS, self.mark, now)
         while self.turns and self.turns[0][0] <= proxy.answered:
             self.left = self.turns.popleft()[1]
-        self.slowest.add(now, max(0.0, event.took_us - self.slowest.read(now)))
+        self.slowest.add(now, max(0.0, event.latency_us - self.slowest.read(now)))
 
     def backlog(self) -> float:
         """Lines that wait by the stated pace."""
@@ -79,4 +79,4 @@
         self.turns.append((self.mark, self.lines))
         self.lines += lines
         before = self.first if self.mark == 1 else []
-        self.turn.orders += [*before, *orders, interface.Mark(self.mark % MARKS, True)]
+        self.turn.orders += [*before, *orders, interface.Barrier(self.mark % MARKS, True)]
--- a/lapispass/core/decay.py
+++ b/lapispass/core/decay.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from math import log
 
-from lapispass.core.units import SECOND
+from lapispass.core.units import SECOND_US
 
 
 @dataclass(slots=True)
@@ -25,7 +25,7 @@
 
     def per_second(self, now: int) -> float:
         """The steady rate of additions that would keep the sum as it is."""
-        return self.read(now) * log(2) * SECOND / self.half_us
+        return self.read(now) * log(2) * SECOND_US / self.half_us
 
 
 class Traffic:
--- a/lapispass/core/fleet_index.py
+++ b/lapispass/core/fleet_index.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import Generic, NamedTuple, Protocol, TypeVar
 
-from lapispass.core.messages import LISTED
+from lapispass.core.messages import RUNNING_STATES
 from lapispass.interface import BackendId
 
 
@@ -66,7 +66,7 @@
 
     def update(self, server: AnyServer) -> None:
         """Takes in how a server stands after it was looked at."""
-        number, listed = server.number, server.state in LISTED
+        number, listed = server.number, server.state in RUNNING_STATES
         weight = server.weight if listed and server.warm else 0.0
         now = Indexed(server.state, server.zone, weight, server.fine)
         before = self._indexed.get(number)
--- a/lapispass/core/interval_figures.py
+++ b/lapispass/core/interval_figures.py
@@ -87,38 +87,38 @@
         current = self.current
         self.lines.event(now, event)
         match event:
-            case interface.Met():
+            case interface.ServerReport():
                 self._met(event)
-            case interface.Answered():
-                current.slowest_mark_us = max(current.slowest_mark_us, event.took_us)
-            case interface.Joined():
+            case interface.BarrierAck():
+                current.slowest_mark_us = max(current.slowest_mark_us, event.latency_us)
+            case interface.ProxyJoined():
                 current.joined += 1
-            case interface.Left():
+            case interface.ProxyLeft():
                 current.left += 1
-            case interface.Given(slice_, ours):
+            case interface.SliceGrant(slice_, ours):
                 if ours:
                     current.given += 1
                     self.unowned.setdefault(slice_, now)
                 else:
                     current.taken += 1
                     self.unowned.pop(slice_, None)
-            case interface.Held(slice_):
+            case interface.StoredOwner(slice_):
                 self.unowned.pop(slice_, None)
 
-    def _met(self, report: interface.Met) -> None:
+    def _met(self, report: interface.ServerReport) -> None:
         current = self.current
         current.tries += report.tries
-        current.lost_tries += report.lost
-        if report.tries > report.lost and report.took_us > current.slowest_server_us:
-            current.slowest_server, current.slowest_server_us = report.backend, report.took_us
+        current.lost_tries += report.failed
+        if report.tries > report.failed and report.mean_latency_us > current.slowest_server_us:
+            current.slowest_server, current.slowest_server_us = report.backend, report.mean_latency_us
 
     def order(self, now: int, order: interface.Order) -> None:
         """Something was ordered."""
         self.lines.order(now, order)
         match order:
-            case interface.Empty(table):
+            case interface.ClearTable(table):
                 self.unowned.setdefault(table, now)
-            case interface.Own(table):
+            case interface.SetTableEntry(table):
                 since = self.unowned.pop(table, None)
                 if since is not None:
                     self.current.handovers += 1
--- a/lapispass/core/line_table.py
+++ b/lapispass/core/line_table.py
@@ -7,7 +7,7 @@
 
 from lapispass import interface
 from lapispass.core.fleet_index import AnyServer, FleetIndex, Server
-from lapispass.core.messages import Missed
+from lapispass.core.messages import MissedOrders
 from lapispass.core.table import Table
 from lapispass.core.turn import Turn
 
@@ -23,7 +23,7 @@
         self.lines: dict[Line, float] = {}
         self.joiners: dict[int, str] = {}  # with their zones
 
-    def joined(self, event: interface.Joined, missed: Missed) -> None:
+    def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """A proxy's stream stands; it has to be bound."""
         super().joined(event, missed)
         self.joiners[event.proxy] = event.zone
@@ -32,12 +32,12 @@
         """A proxy's stream has ended."""
         self.joiners.pop(proxy, None)
 
-    def order(self, lines: Iterable[interface.Own]) -> None:
+    def order(self, lines: Iterable[interface.SetTableEntry]) -> None:
         """These lines are ordered; a server whose line was taken out may be forgotten now."""
         for line in lines:
             self.lines[line.table, line.backend] = line.weight
             if not line.weight:
-                self.turn.touched.add(line.backend)
+                self.turn.updated_servers.add(line.backend)
 
     def forget(self, number: interface.BackendId) -> bool:
         """A server is gone for good; False while it stands in a table."""
--- a/lapispass/core/picture.py
+++ b/lapispass/core/picture.py
@@ -13,7 +13,7 @@
 class Picture:
     """Follows one controller turn by turn."""
 
-    def __init__(self, slices: int, classes: Sequence[interface.VisitClass], by_share: bool) -> None:
+    def __init__(self, slices: int, classes: Sequence[interface.RequestClass], by_share: bool) -> None:
         self.stands = tables.Tables(slices)
         self.writes = [place for place, kind in enumerate(classes) if kind.writes]
         self.places = range(len(classes))
@@ -36,23 +36,23 @@
         mark: int | None = None
         for event in events:
             match event:
-                case interface.Given(number, ours):
+                case interface.SliceGrant(number, ours):
                     (self.ours.add if ours else self.ours.discard)(number)
                     self.clear(number)
-                case interface.Held(number, backend) if number in self.ours:
+                case interface.StoredOwner(number, backend) if number in self.ours:
                     self.stands.apply(tables.SetLine(number, str(backend)))
         for order in orders:
             match order:
-                case interface.Own(number, backend, _):
+                case interface.SetTableEntry(number, backend, _):
                     self.stands.apply(tables.SetLine(number, str(backend)))
-                case interface.Empty(number):
+                case interface.ClearTable(number):
                     self.clear(number)
-                case interface.Withdraw(backend, out):
+                case interface.SetWithdrawn(backend, out):
                     self.stands.apply(tables.SetOut(str(backend), out))
-                case interface.Admit(table, classes, _, share):
+                case interface.SetAdmission(table, classes, _, share):
                     for number in self.ours if table is None else (table,):
                         self.admit(number, classes, share)
-                case interface.Mark(number):
+                case interface.Barrier(number):
                     mark = number
         self.stands.nodes = dict(addresses)
         return list(self.stands.differences(before)), mark
--- a/lapispass/core/proxies.py
+++ b/lapispass/core/proxies.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 
 from lapispass import interface
-from lapispass.core.units import NEVER, SECOND
+from lapispass.core.units import NEVER, SECOND_US
 
-READ_US = SECOND  # the wire, "ENROLLED": a proxy that has joined reads the store within a second
+READ_US = SECOND_US  # the wire, "ENROLLED": a proxy that has joined reads the store within a second
 
 
 @dataclass(slots=True)
@@ -54,9 +54,9 @@
     def __len__(self) -> int:
         return len(self.joined) + len(self.departed)
 
-    def join(self, event: interface.Joined, lines: float, now: int) -> Proxy:
+    def join(self, event: interface.ProxyJoined, lines: float, now: int) -> Proxy:
         """A stream stands; what the proxy holds from an earlier one is over where it is the first."""
-        number, first = event.proxy, event.first
+        number, first = event.proxy, event.first_stream
         if number in self.joined:
             self.leave(number, now)
         old = self.departed.pop(number, None) or Proxy()
--- a/lapispass/core/server_state.py
+++ b/lapispass/core/server_state.py
@@ -4,7 +4,7 @@
 
 from lapispass import interface
 from lapispass.core.decay import Traffic
-from lapispass.core.messages import Standing
+from lapispass.core.messages import ServerStatus
 from lapispass.core.turn import Turn
 from lapispass.core.units import NEVER
 
@@ -33,7 +33,7 @@
 
     def __init__(self, turn: Turn, number: interface.BackendId, place: int) -> None:
         self.turn, self.number, self.place = turn, number, place
-        self.entry: interface.Entry | None = None  # as last told
+        self.entry: interface.RegistryEntry | None = None  # as last told
         self.born_reported = 0  # by the registry's clock; `born` is by ours
         self.listed, self.zone, self.weight, self.born, self.gone_at = "gone", "", 1.0, 0, NEVER
         self.alive = False  # as probes have it
@@ -47,11 +47,11 @@
         self.pace, self.fine, self.reported, self.read_at = 0.0, False, False, NEVER
         self.state, self.warm = "unproven", True  # as of the last visit
 
-    def note_traffic(self, report: interface.Met, half_us: int) -> None:
+    def note_traffic(self, report: interface.ServerReport, half_us: int) -> None:
         """Adds a report to the decaying sums of this half-life."""
-        now, done = self.turn.now, report.tries - report.lost
+        now, done = self.turn.now, report.tries - report.failed
         self.traffic = self.traffic or Traffic(half_us, now)
-        self.traffic.add(now, report.tries, report.lost, report.took_us)
+        self.traffic.add(now, report.tries, report.failed, report.mean_latency_us)
         self.reported = True
         if done > 0:
             self.good_at = now
@@ -64,10 +64,10 @@
             self.good_at = self.turn.now
         self.rate = rate
 
-    def standing(self) -> Standing:
+    def standing(self) -> ServerStatus:
         """How it stood when it was last looked at."""
         work = (self.pace, self.busy, self.born, self.held)
-        return Standing(self.number, self.state, self.zone, self.weight, *work)
+        return ServerStatus(self.number, self.state, self.zone, self.weight, *work)
 
     def turn_to(self, mode: str, why: str) -> None:
         """It is well, silent or failing from now on."""
--- a/lapispass/core/shut_out.py
+++ b/lapispass/core/shut_out.py
@@ -6,7 +6,7 @@
 
 from lapispass import interface
 from lapispass.core.fleet_index import Server
-from lapispass.core.messages import Missed
+from lapispass.core.messages import MissedOrders
 from lapispass.core.repeats import Repeats
 
 
@@ -19,17 +19,17 @@
         self.repeats: set[interface.BackendId] = set()  # of these, those that are about to be let in again
         self.said: dict[interface.BackendId, int] = {}  # whether it is out was last said under this mark
 
-    def missed(self, note: Missed) -> None:
+    def missed(self, note: MissedOrders) -> None:
         """A joiner may have missed what was said last, and holds what an earlier stream shut out.
 
         One that has answered nothing yet may hold what an earlier life of this controller shut out.
         """
-        if note.first:
+        if note.first_stream:
             self.again.add(self.out)
-        elif note.mark < 0:
+        elif note.barrier < 0:
             self.again.add_all()
         else:
-            self.again.add(number for number, said in self.said.items() if said > note.mark)
+            self.again.add(number for number, said in self.said.items() if said > note.barrier)
 
     def repeat(self, servers: Iterable[Server]) -> None:
         """These are about to be let in again."""
--- a/lapispass/core/slice_lines.py
+++ b/lapispass/core/slice_lines.py
@@ -38,21 +38,21 @@
     def event(self, now: int, event: interface.Event) -> None:
         """Something was received."""
         match event:
-            case interface.Given(slice_, ours):
+            case interface.SliceGrant(slice_, ours):
                 self._forget(slice_)
                 if ours:
                     self._assign(now, slice_, None)
-            case interface.Held(slice_, owner) if slice_ in self.owners:
+            case interface.StoredOwner(slice_, owner) if slice_ in self.owners:
                 self._assign(now, slice_, owner)
 
     def order(self, now: int, order: interface.Order) -> None:
         """Something was ordered."""
         match order:
-            case interface.Empty(slice_) if slice_ in self.owners:
+            case interface.ClearTable(slice_) if slice_ in self.owners:
                 self._assign(now, slice_, None)
-            case interface.Own(slice_, owner) if slice_ in self.owners:
+            case interface.SetTableEntry(slice_, owner) if slice_ in self.owners:
                 self._assign(now, slice_, owner)
-            case interface.Withdraw(backend, out):
+            case interface.SetWithdrawn(backend, out):
                 (self._out.add if out else self._out.discard)(backend)
                 for slice_ in sorted(self._owned.get(backend, ())):
                     self._judge(now, slice_)
--- a/lapispass/core/slice_table.py
+++ b/lapispass/core/slice_table.py
@@ -6,7 +6,7 @@
 
 from lapispass import interface
 from lapispass.core.fleet_index import AnyServer, FleetIndex
-from lapispass.core.messages import Missed
+from lapispass.core.messages import MissedOrders
 from lapispass.core.server_state import ServerState
 from lapispass.core.shut_out import ShutOut
 from lapispass.core.slices import Holdings
@@ -43,12 +43,12 @@
         """The owner that the store has for a slice just given."""
         self.holdings.hold(number, backend)
 
-    def came(self, report: interface.Came) -> None:
+    def came(self, report: interface.RequestReport) -> None:
         """Visits that came for a slice."""
-        if report.over_us:
+        if report.interval_us:
             self.holdings.report(report, self.times.demand_us, self.turn.now)
 
-    def joined(self, event: interface.Joined, missed: Missed) -> None:
+    def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """A proxy's stream stands."""
         super().joined(event, missed)
         self.shut_out.missed(missed)
@@ -74,7 +74,7 @@
             self.holdings.unsettled.add(owner)
             if server := self.fleet.servers.get(owner):
                 server.carry(self.holdings.rate(owner))
-                self.turn.touched.add(owner)
+                self.turn.updated_servers.add(owner)
 
     def next_look(self, now: int, joined: int) -> int:
         """When it has to be looked at without news."""
--- a/lapispass/core/slices.py
+++ b/lapispass/core/slices.py
@@ -111,13 +111,13 @@
             self.stepped(slice_)
             self.touched.add(number)
 
-    def report(self, report: interface.Came, half_us: int, now: int) -> None:
+    def report(self, report: interface.RequestReport, half_us: int, now: int) -> None:
         """Visits came for a slice."""
-        if slice_ := self.slices.get(report.place):
-            demand = slice_.demand.setdefault(report.visit_class, DecayingSum(half_us))
-            demand.add(now, report.visits)
+        if slice_ := self.slices.get(report.target):
+            demand = slice_.demand.setdefault(report.request_class, DecayingSum(half_us))
+            demand.add(now, report.requests)
             slice_.reported = True
-            self.touched.add(report.place)
+            self.touched.add(report.target)
 
     def read_rates(self, now: int, every_us: int, negligible: float) -> bool:
         """Reads the rates of slices with reports, and of others each `every_us` until nothing is left.
--- a/lapispass/core/table.py
+++ b/lapispass/core/table.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from lapispass import interface
-from lapispass.core.messages import Missed, Offer
+from lapispass.core.messages import MissedOrders, SendBudget
 from lapispass.core.server_state import ServerState
 from lapispass.core.units import NEVER
 
@@ -25,10 +25,10 @@
     def held(self, number: int, backend: interface.BackendId) -> None:
         """The owner that the store has for a slice just given."""
 
-    def came(self, report: interface.Came) -> None:
+    def came(self, report: interface.RequestReport) -> None:
         """Visits that came for a slice."""
 
-    def joined(self, event: interface.Joined, missed: Missed) -> None:
+    def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """A proxy's stream stands."""
         self.changed = True
 
@@ -50,7 +50,7 @@
         """When it has to be looked at without news; nothing can be said while no proxy has joined."""
         return now if self.changed and joined else self.due_at
 
-    def look(self, now: int, every_us: int, ask: Callable[[], Offer | None]) -> None:
+    def look(self, now: int, every_us: int, ask: Callable[[], SendBudget | None]) -> None:
         """Where something has changed or is due, acts as soon as the channel offers a turn."""
         if not (self.changed or now >= self.due_at):
             return
@@ -59,6 +59,6 @@
         if offer is not None:
             self.due_at = max(now + every_us, self.act(offer))
 
-    def act(self, offer: Offer) -> int:
+    def act(self, offer: SendBudget) -> int:
         """Orders what follows from the news; returns when something is due next."""
         raise NotImplementedError
--- a/lapispass/core/turn.py
+++ b/lapispass/core/turn.py
@@ -14,20 +14,20 @@
 
     now: int
     random: RandomSource
-    heard_at: int  # when a report about any server last came
+    last_report_at: int  # when a report about any server last came
     orders: list[interface.Order] = field(default_factory=list)
-    touched: set[interface.BackendId] = field(
+    updated_servers: set[interface.BackendId] = field(
         default_factory=set
     )  # servers with news since they were looked at
     awaiting_reports: set[interface.BackendId] = field(
         default_factory=set
     )  # to be looked at with the next report
 
-    def report_came(self) -> None:
+    def report_received(self) -> None:
         """A report about some server has come: silence of others can be told from late reports now."""
-        self.heard_at = self.now
-        self.touched |= self.awaiting_reports
+        self.last_report_at = self.now
+        self.updated_servers |= self.awaiting_reports
         self.awaiting_reports.clear()
 
     def log(self, text: str) -> None:
-        self.orders.append(interface.Log(text))
+        self.orders.append(interface.LogMessage(text))
--- a/lapispass/core/units.py
+++ b/lapispass/core/units.py
@@ -1,4 +1,4 @@
 """Units of time in the decisions: whole microseconds."""
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 NEVER = 1 << 62  # later than any time that a controller sees
--- a/lapispass/deployment.py
+++ b/lapispass/deployment.py
@@ -21,7 +21,7 @@
 NUMBER_MOST = 65_536  # proxies and tables are numbers below this
 
 
-class Part:
+class SettingsSection:
     """One object of the settings. What it reads is checked, and named by its path where it makes no sense."""
 
     def __init__(self, told: Any, path: str = "") -> None:
@@ -32,9 +32,9 @@
     def name(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def part(self, key: str) -> Part:
+    def part(self, key: str) -> SettingsSection:
         """An object that may be left out."""
-        return Part({} if self.told.get(key) is None else self.told[key], self.name(key))
+        return SettingsSection({} if self.told.get(key) is None else self.told[key], self.name(key))
 
     def one(self, key: str, default: Any, sound: Callable[[Any], bool], what: str) -> Any:
         """A value; None as the default says that it must be there."""
@@ -86,9 +86,9 @@
         return tuple(told)
 
 
-def visit_classes(env: Part, extra: Part) -> tuple[interface.VisitClass, ...]:
+def visit_classes(env: SettingsSection, extra: SettingsSection) -> tuple[interface.RequestClass, ...]:
     told = env.one("grades", None, lambda value: isinstance(value, list) and value != [], "list of classes")
-    grades = [Part(grade, f"grades[{place}]") for place, grade in enumerate(told)]
+    grades = [SettingsSection(grade, f"grades[{place}]") for place, grade in enumerate(told)]
     names = [grade.word("name", None) for grade in grades]
     for place, name in enumerate(names):
         if name in names[:place]:
@@ -98,7 +98,7 @@
         for key in ("class-writes", "home-only")
     )
     return tuple(
-        interface.VisitClass(
+        interface.RequestClass(
             name,
             grade.whole("target-us", None),
             grade.whole("hard-limit-us", None),
@@ -114,7 +114,7 @@
 
 def read(told: Any) -> interface.Deployment:
     """Keys it does not know are passed over; a ValueError names the one that is missing or odd."""
-    env = Part(told)
+    env = SettingsSection(told)
     extra, rules, limits = env.part("extra"), env.part("rules"), env.part("limits")
     # A slice with one owner is never handed over without these.
     needed = None if extra.flag("one-owner") and extra.number("key-ranges") else 0
@@ -125,21 +125,21 @@
         slices=extra.whole("key-ranges", most=NUMBER_MOST),
         lease_us=extra.whole("lease-us", needed),
         linger_us=extra.whole("lingers-us", needed),
-        bare_us=extra.whole("blackhole-us"),
+        unserved_limit_us=extra.whole("blackhole-us"),
         lines_per_s=extra.number("lines-per-s"),
-        head_lines=extra.number("fixed-cost"),
-        queue_lines=extra.number("queue-cap"),
-        messages_most=extra.whole("pushes-allowed"),
-        messages_over_us=extra.whole("update-window-us"),
-        report_every_us=extra.whole("report-every-us"),
-        usual_retry=extra.whole("usual-how", most=3),
-        asks_for_list=env.word("discovery") == "subscribe",
-        may_probe=limits.flag("probes"),
-        gone_binds=not rules.flag("drain-binds-alone"),
-        admits=ADMITS.get(extra.word("admit"), "none"),
+        message_overhead_lines=extra.number("fixed-cost"),
+        queue_limit_lines=extra.number("queue-cap"),
+        max_messages=extra.whole("pushes-allowed"),
+        message_window_us=extra.whole("update-window-us"),
+        report_interval_us=extra.whole("report-every-us"),
+        default_retry=extra.whole("usual-how", most=3),
+        subscribes_to_registry=env.word("discovery") == "subscribe",
+        probes_allowed=limits.flag("probes"),
+        must_leave_gone=not rules.flag("drain-binds-alone"),
+        admission_mode=ADMITS.get(extra.word("admit"), "none"),
         cold_us=rules.whole("cold-us"),
         cold_share=rules.number("start-capacity", 1),
-        fall_multiple=rules.number("fall-multiple", 2),
+        cold_overload_factor=rules.number("fall-multiple", 2),
         load_fields=tuple(LOAD_FIELDS.get(name, name) for name in env.part("stats").words("fields")),
-        turn_every_us=env.whole("period-us", 5000),
+        turn_interval_us=env.whole("period-us", 5000),
     )
--- a/lapispass/drill/codec.py
+++ b/lapispass/drill/codec.py
@@ -55,31 +55,33 @@
 
 # verb: (readers of the parts after the instance, maker of the event)
 EVENTS: dict[str, tuple[tuple[Callable[[str], Any], ...], Callable[..., interface.Event]]] = {
-    "FIRED": ((whole,), interface.Woken),
-    "CHECK_RESULT": ((whole, whole, whole, gauge), interface.Probed),
-    "MESSAGE": ((whole, lambda text: b"" if text == "-" else bytes.fromhex(text)), interface.Said),
+    "FIRED": ((whole,), interface.TimerFired),
+    "CHECK_RESULT": ((whole, whole, whole, gauge), interface.ProbeResult),
+    "MESSAGE": ((whole, lambda text: b"" if text == "-" else bytes.fromhex(text)), interface.PeerMessage),
     "ENROLLED": (
         (flag, whole, str, number),
-        lambda first, proxy, zone, visits_per_s: interface.Joined(proxy, first, zone, visits_per_s, True),
+        lambda first, proxy, zone, visits_per_s: interface.ProxyJoined(
+            proxy, first, zone, visits_per_s, True
+        ),
     ),
-    "DROPPED_OFF": ((whole,), interface.Left),
+    "DROPPED_OFF": ((whole,), interface.ProxyLeft),
     "STATS": (
         (whole, whole, whole, whole, whole, str, gauge),
-        lambda lost, tries, took, over, backend, zone, load: interface.Met(
+        lambda lost, tries, took, over, backend, zone, load: interface.ServerReport(
             backend, zone, lost, tries, took, over, load
         ),
     ),
     "INGRESS": (
         (str, whole, whole, whole, whole),
-        lambda name, lost, visits, over, proxy: interface.Came(proxy, name, visits, lost, over),
+        lambda name, lost, visits, over, proxy: interface.RequestReport(proxy, name, visits, lost, over),
     ),
     "PRESSURE": (
         (whole, whole, whole, whole, str),
-        lambda lost, table, over, visits, name: interface.Came(table, name, visits, lost, over),
+        lambda lost, table, over, visits, name: interface.RequestReport(table, name, visits, lost, over),
     ),
-    "GIVEN": ((whole, flag), interface.Given),
-    "RECORDED": ((whole, whole, number), lambda table, backend, _w: interface.Held(table, backend)),
-    "TOOK_EFFECT": ((whole, whole, whole), lambda mark, proxy, took: interface.Answered(proxy, mark, took)),
+    "GIVEN": ((whole, flag), interface.SliceGrant),
+    "RECORDED": ((whole, whole, number), lambda table, backend, _w: interface.StoredOwner(table, backend)),
+    "TOOK_EFFECT": ((whole, whole, whole), lambda mark, proxy, took: interface.BarrierAck(proxy, mark, took)),
 }
 ENTRY = (whole, str, str, whole, named(STATES), number, count)
 
@@ -169,8 +171,8 @@
             if row.split("\t")[0] != "ENTRY":
                 raise WireError(f"ENTRY expected, not {row[:40]!r}")
             backend, zone, _, _, state, weight, born = parts_of(row, ENTRY, 1)
-            entries.append(interface.Entry(backend, zone, state, weight, born or None))
-        return who, interface.Listed(kind, tuple(entries))
+            entries.append(interface.RegistryEntry(backend, zone, state, weight, born or None))
+        return who, interface.RegistryUpdate(kind, tuple(entries))
     if verb not in EVENTS:
         raise WireError(f"unknown verb {verb[:40]!r}")
     readers, make = EVENTS[verb]
@@ -184,25 +186,25 @@
 def written(who: int, order: interface.Order) -> str:
     """One order as a line of the wire."""
     match order:
-        case interface.Own(table, backend, weight):
+        case interface.SetTableEntry(table, backend, weight):
             return f"UPSERT\t{who}\t{table}\t{figure(weight)}\t{backend}\n"
-        case interface.Empty(table):
+        case interface.ClearTable(table):
             return f"DROP_LINES\t{who}\t{table}\n"
-        case interface.Withdraw(backend, out):
+        case interface.SetWithdrawn(backend, out):
             return f"BENCH\t{who}\t{int(out)}\t{backend}\n"
-        case interface.Admit(table, classes, retry, share):
+        case interface.SetAdmission(table, classes, retry, share):
             wide = ALL_TABLES if table is None else table
             return f"VALVE\t{who}\t{wide}\t{classes}\t{retry}\t{figure(share)}\n"
-        case interface.Mark(mark, every_proxy):
+        case interface.Barrier(mark, every_proxy):
             return f"CHECKPOINT\t{who}\t{int(every_proxy)}\t{mark}\n"
-        case interface.Bind(proxy, table, classes):
+        case interface.BindProxy(proxy, table, classes):
             return f"PIN\t{who}\t{proxy}\t{table}\t{classes}\n"
         case interface.Probe(backend):
             return f"INSPECT\t{who}\t{backend}\n"
-        case interface.Wake(token, at_us):
+        case interface.SetTimer(token, at_us):
             return f"NOTIFY_ME\t{who}\t{token}\t{at_us}\n"
-        case interface.Follow():
+        case interface.WatchRegistry():
             return f"TAIL\t{who}\t1\n"
-        case interface.Log(text):
+        case interface.LogMessage(text):
             return f"RECORD\t{who}\t{text}\n"
     raise TypeError(f"no such order: {order!r}")
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -65,7 +65,7 @@
             for place, name in enumerate(told.gates.name)
         }
         self.keeper = Keeper(operator.classes(told), bounds, operator.drain_terms(told), service.clock.now())
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
+        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
         self.gates: dict[str, Joined] = {}
         self.known: dict[str, tuple[str, int]] = {}  # name: the process that had it last, and when it left
         self.addresses: dict[str, tables.Address] = {}
@@ -77,7 +77,7 @@
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn has been taken: its changes and its mark go to every gate, whole, in order."""
-        if any(isinstance(event, interface.Listed) for event in events):
+        if any(isinstance(event, interface.RegistryUpdate) for event in events):
             self.learn_addresses()
         changes, mark = self.picture.turn(events, orders, self.addresses)
         if changes or mark is not None:
@@ -141,9 +141,9 @@
                     standing.zone,
                     standing.state,
                     standing.weight,
-                    standing.born,
-                    standing.busy,
-                    standing.pace,
+                    standing.started_at,
+                    standing.busy_share,
+                    standing.completed_per_s,
                 )
                 for standing in self.service.controller.standings()
             ],
@@ -152,7 +152,7 @@
         for note in orders.notes:
             self.log.say("drain", text=note)
         for node, load in orders.loads.items():
-            self.service.tell(interface.Holding(node, load))
+            self.service.tell(interface.HeldConnectionLoad(node, load))
         for name, plan in orders.plans.items():
             self.tell_plan(name, plan, now)
 
@@ -224,7 +224,7 @@
         writer.write(wire.line(wire.turn(self.picture.stands.differences(wire.stands(hello)), None)))
         self.gates[gate.name] = gate
         self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
-        self.service.tell(interface.Joined(gate.number, gate.name not in self.known, hello.zone, None))
+        self.service.tell(interface.ProxyJoined(gate.number, gate.name not in self.known, hello.zone, None))
         self.known[gate.name] = hello.boot, 0
         self.counters["gates.joined"] += 1
         self.log.say("gate joined", gate=gate.name, zone=hello.zone, drains=len(hello.drains))
@@ -246,7 +246,7 @@
                 self.send(gate, wire.line(message))
             case wire.Answer(marks):
                 for mark, took_us in marks:
-                    self.service.tell(interface.Answered(gate.number, mark, max(0, took_us)))
+                    self.service.tell(interface.BarrierAck(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
                 self.keeper.told(self.service.clock.now(), gate.name, message.serial, wire.counted(message))
@@ -260,6 +260,6 @@
         del self.gates[gate.name]
         self.known[gate.name] = self.known[gate.name][0], self.service.clock.now()
         self.keeper.left(self.service.clock.now(), gate.name)
-        self.service.tell(interface.Left(gate.number))
+        self.service.tell(interface.ProxyLeft(gate.number))
         self.counters["gates.left"] += 1
         self.log.say("gate left", gate=gate.name, why=why)
--- a/lapispass/interface.py
+++ b/lapispass/interface.py
@@ -13,74 +13,74 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VisitClass:
+class RequestClass:
     """One class of visit, as the deployment lists it."""
 
     name: str
-    agreed_us: int
-    patience_us: int
-    benefit: float
+    deadline_us: int
+    client_timeout_us: int
+    value: float
     writes: bool
-    own_zone: bool
-    repeats: bool = True  # may run again: after any failure, at any server, at any time
+    same_zone_only: bool
+    repeatable: bool = True  # may run again: after any failure, at any server, at any time
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
     """What an operator tells a controller at its start."""
 
-    classes: tuple[VisitClass, ...]
+    classes: tuple[RequestClass, ...]
     zones: tuple[str, ...]
     proxies: int
     slices: int
     lease_us: int
     linger_us: int
-    bare_us: int
+    unserved_limit_us: int
     lines_per_s: float
-    head_lines: float
-    queue_lines: float
-    messages_most: int
-    messages_over_us: int
-    report_every_us: int
-    usual_retry: int
-    asks_for_list: bool
-    may_probe: bool
-    gone_binds: bool  # a server that the list calls gone must be left, though it was never seen to drain
-    admits: str  # levels are a 'share', a 'rate' at each proxy, or have no effect: 'none'
+    message_overhead_lines: float
+    queue_limit_lines: float
+    max_messages: int
+    message_window_us: int
+    report_interval_us: int
+    default_retry: int
+    subscribes_to_registry: bool
+    probes_allowed: bool
+    must_leave_gone: bool  # a server that the list calls gone must be left, though it was never seen to drain
+    admission_mode: str  # levels are a 'share', a 'rate' at each proxy, or have no effect: 'none'
     cold_us: int
     cold_share: float
-    fall_multiple: float  # sent so many times what it can do, a cold server falls over
+    cold_overload_factor: float  # sent so many times what it can do, a cold server falls over
     load_fields: tuple[str, ...]
-    turn_every_us: int = 5000  # a front hands over news no more often
+    turn_interval_us: int = 5000  # a front hands over news no more often
 
 
-class Entry(NamedTuple):
+class RegistryEntry(NamedTuple):
     """One backend in the list."""
 
     backend: BackendId
     zone: str
     state: str
     weight: float | None
-    born_us: int | None
+    started_us: int | None
 
 
 # Events
 
 
-class Listed(NamedTuple):
+class RegistryUpdate(NamedTuple):
     """News of the list: 'changes', 'whole', 'remembered' (whole, perhaps outdated) or 'lost'."""
 
     kind: str
-    entries: tuple[Entry, ...]
+    entries: tuple[RegistryEntry, ...]
 
 
-class Woken(NamedTuple):
+class TimerFired(NamedTuple):
     """A wake-up that was asked for has come."""
 
     token: int
 
 
-class Probed(NamedTuple):
+class ProbeResult(NamedTuple):
     """What a probe found; reason 0 is an answer."""
 
     backend: BackendId
@@ -89,7 +89,7 @@
     load: tuple[float | None, ...] | None
 
 
-class Joined(NamedTuple):
+class ProxyJoined(NamedTuple):
     """A proxy's stream stands.
 
     `reads_store`: the stream stands since just now, and the proxy reads the slices' tables from the store on
@@ -97,83 +97,96 @@
     """
 
     proxy: int
-    first: bool
+    first_stream: bool
     zone: str
-    visits_per_s: float | None
+    requests_per_s: float | None
     reads_store: bool = False
 
 
-class Left(NamedTuple):
+class ProxyLeft(NamedTuple):
     """A proxy's stream ended."""
 
     proxy: int
 
 
-class Met(NamedTuple):
+class ServerReport(NamedTuple):
     """What the proxies of a zone met at a backend."""
 
     backend: BackendId
     zone: str
-    lost: int
+    failed: int
     tries: int
-    took_us: int
-    over_us: int
+    mean_latency_us: int
+    interval_us: int
     load: tuple[float | None, ...] | None
 
 
-class Came(NamedTuple):
+class RequestReport(NamedTuple):
     """Visits of a class that came for a slice, or (without slices) to a proxy."""
 
-    place: int
-    visit_class: str
-    visits: int
-    lost: int
-    over_us: int
+    target: int
+    request_class: str
+    requests: int
+    failed: int
+    interval_us: int
 
 
-class Given(NamedTuple):
+class SliceGrant(NamedTuple):
     """The store puts a slice in this controller's charge, or takes it out."""
 
     slice: int
-    ours: bool
+    granted: bool
 
 
-class Held(NamedTuple):
+class StoredOwner(NamedTuple):
     """The owner that the store holds for a slice just given."""
 
     slice: int
     backend: BackendId
 
 
-class Answered(NamedTuple):
+class BarrierAck(NamedTuple):
     """A proxy has applied everything up to a mark."""
 
     proxy: int
-    mark: int
-    took_us: int
+    barrier: int
+    latency_us: int
 
 
-class Holding(NamedTuple):
+class HeldConnectionLoad(NamedTuple):
     """What the connections that are held at a backend cost it, in visits a second, all gates together."""
 
     backend: BackendId
-    load: float
+    requests_per_s: float
 
 
-class Said(NamedTuple):
+class PeerMessage(NamedTuple):
     """A peer controller sent bytes."""
 
     peer: int
     data: bytes
 
 
-Event = Listed | Woken | Probed | Joined | Left | Met | Came | Given | Held | Answered | Holding | Said
+Event = (
+    RegistryUpdate
+    | TimerFired
+    | ProbeResult
+    | ProxyJoined
+    | ProxyLeft
+    | ServerReport
+    | RequestReport
+    | SliceGrant
+    | StoredOwner
+    | BarrierAck
+    | HeldConnectionLoad
+    | PeerMessage
+)
 
 
 # Orders
 
 
-class Own(NamedTuple):
+class SetTableEntry(NamedTuple):
     """Set a table's line for a backend (an exclusive slice: its owner)."""
 
     table: int
@@ -181,41 +194,41 @@
     weight: float
 
 
-class Empty(NamedTuple):
+class ClearTable(NamedTuple):
     """Take all lines and levels out of a table."""
 
     table: int
 
 
-class Withdraw(NamedTuple):
+class SetWithdrawn(NamedTuple):
     """Shut a backend out of all tables, or let it in again."""
 
     backend: BackendId
-    out: bool
+    withdrawn: bool
 
 
-class Admit(NamedTuple):
+class SetAdmission(NamedTuple):
     """Set the share of some classes that a table lets in (table None: all tables)."""
 
     table: int | None
-    classes: int
+    class_mask: int
     retry: int
     share: float
 
 
-class Mark(NamedTuple):
+class Barrier(NamedTuple):
     """Ask each proxy that this turn reaches (or every one) to answer."""
 
     number: int
     every_proxy: bool
 
 
-class Bind(NamedTuple):
+class BindProxy(NamedTuple):
     """Put a proxy on a table, where there are no slices."""
 
     proxy: int
     table: int
-    classes: int
+    class_mask: int
 
 
 class Probe(NamedTuple):
@@ -224,21 +237,32 @@
     backend: BackendId
 
 
-class Wake(NamedTuple):
+class SetTimer(NamedTuple):
     """Ask for a wake-up."""
 
     token: int
     at_us: int
 
 
-class Follow(NamedTuple):
+class WatchRegistry(NamedTuple):
     """Ask for the list and its changes from now on."""
 
 
-class Log(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for whoever is on call."""
 
     text: str
 
 
-Order = Own | Empty | Withdraw | Admit | Mark | Bind | Probe | Wake | Follow | Log
+Order = (
+    SetTableEntry
+    | ClearTable
+    | SetWithdrawn
+    | SetAdmission
+    | Barrier
+    | BindProxy
+    | Probe
+    | SetTimer
+    | WatchRegistry
+    | LogMessage
+)
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -145,8 +145,8 @@
 
         def watched(events: list[interface.Event], orders: list[interface.Order]) -> None:
             for order in orders:
-                if isinstance(order, interface.Own | interface.Empty):
-                    owner = str(order.backend) if isinstance(order, interface.Own) else None
+                if isinstance(order, interface.SetTableEntry | interface.ClearTable):
+                    owner = str(order.backend) if isinstance(order, interface.SetTableEntry) else None
                     self.checker.publish(clock_us(), order.table, owner)
                     self.verdict.handovers += owner is not None
             turned(events, orders)
@@ -172,7 +172,7 @@
     async def play(self) -> Verdict:
         chance, verdict = self.chance, self.verdict
         store = Assignments(self.folder / "store", SLICES)  # what an earlier life has left
-        store.commit([interface.Own(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
+        store.commit([interface.SetTableEntry(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
         store.close()
         for number in range(SLICES):
             self.checker.publish(0, number, f"n{number % NODES}")
--- a/lapispass/net/codec.py
+++ b/lapispass/net/codec.py
@@ -41,7 +41,7 @@
 
     version: int
     whole: bool
-    entries: tuple[interface.Entry, ...]
+    entries: tuple[interface.RegistryEntry, ...]
     addresses: dict[interface.BackendId, str]
     unreadable: int
 
@@ -138,7 +138,7 @@
                     if lost > tries:
                         raise WireError(f"{lost} of {tries} failed")
                     load = self.load(value["metrics"], ":") if value.get("metrics") else None
-                    return kind, interface.Met(
+                    return kind, interface.ServerReport(
                         self._id(value["endpoint"]),
                         self._zone(self._where(value)),
                         lost,
@@ -151,7 +151,7 @@
                     if value["route"] not in self.classes:
                         raise WireError(f"unknown class {value['route'][:40]!r}")
                     # More may fail than came: what came in an interval may fail in the next.
-                    return kind, interface.Came(
+                    return kind, interface.RequestReport(
                         self._below(value["shard"], self.told.slices),
                         value["route"],
                         whole(value["total"]),
@@ -171,7 +171,7 @@
             match kind:
                 case "SUBSCRIBE":
                     rate = figure(value["w"]) if value.get("w") else None
-                    return interface.Joined(
+                    return interface.ProxyJoined(
                         self._below(value["node"], self.told.proxies),
                         flag(value["cold"]),
                         self._where(value),
@@ -179,16 +179,18 @@
                         reads_store=True,
                     )
                 case "CLOSED":
-                    return interface.Left(self._below(value["node"], self.told.proxies))
+                    return interface.ProxyLeft(self._below(value["node"], self.told.proxies))
                 case "ACK":
                     mark = (self._below(value["nonce"], MARKS) - self.first_mark) % MARKS
-                    return interface.Answered(
+                    return interface.BarrierAck(
                         self._below(value["node"], self.told.proxies), mark, micros(value["latency"])
                     )
                 case "GRANT":
-                    return interface.Given(self._below(value["shard"], self.told.slices), flag(value["set"]))
+                    return interface.SliceGrant(
+                        self._below(value["shard"], self.told.slices), flag(value["set"])
+                    )
                 case "ROW":
-                    return interface.Held(
+                    return interface.StoredOwner(
                         self._below(value["shard"], self.told.slices), self._id(value["endpoint"])
                     )
             return None
@@ -215,7 +217,7 @@
                 raise WireError(f"complete {str(complete)[:40]!r}")
         except (KeyError, TypeError, ValueError) as error:
             raise WireError(f"{type(error).__name__} {error}") from None
-        entries: list[interface.Entry] = []
+        entries: list[interface.RegistryEntry] = []
         addresses: dict[interface.BackendId, str] = {}
         for member in members:
             try:
@@ -224,7 +226,7 @@
                 born = round(figure(member.get("up_since_ms") or 0, UNIX_MS_MOST) * 1000)
                 size = figure(member.get("size") or 0)
                 entries.append(
-                    interface.Entry(
+                    interface.RegistryEntry(
                         name,
                         str(self._where(member)),
                         STATES[member["phase"]],
@@ -243,17 +245,17 @@
     def written(self, order: interface.Order) -> str:
         """One order as the relay reads it."""
         match order:
-            case interface.Own(table, backend, weight):
+            case interface.SetTableEntry(table, backend, weight):
                 return f"SET,{table},{backend},{plain(weight)}"
-            case interface.Empty(table):
+            case interface.ClearTable(table):
                 return f"DEL,{table}"
-            case interface.Withdraw(backend, out):
+            case interface.SetWithdrawn(backend, out):
                 return f"{'OUT' if out else 'IN'},{backend}"
-            case interface.Admit(table, classes, retry, share):
+            case interface.SetAdmission(table, classes, retry, share):
                 names = [kind.name for place, kind in enumerate(self.told.classes) if classes >> place & 1]
                 tables = "*" if table is None else table
                 return f"LIMIT,{tables},{'+'.join(names) or '*'},{plain(share)},{retry}"
-            case interface.Mark(mark, every_proxy):
+            case interface.Barrier(mark, every_proxy):
                 return f"SYNC,{(mark + self.first_mark) % MARKS},{int(every_proxy)}"
         raise TypeError(f"the relay knows no such order: {order!r}")
 
--- a/lapispass/net/launch.py
+++ b/lapispass/net/launch.py
@@ -83,19 +83,19 @@
             part = "settings"
             # Whatever the settings say of discovery: on sockets nobody tells the list to whom has not asked
             # for it.
-            told = replace(deployment.read(given["settings"]), asks_for_list=True)
+            told = replace(deployment.read(given["settings"]), subscribes_to_registry=True)
             part = "limits"
-            sockets = deployment.Part(given).part("limits").whole("sockets", 1024)
+            sockets = deployment.SettingsSection(given).part("limits").whole("sockets", 1024)
             limits = Limits.within(sockets, told.proxies, told.slices)
             part = "known"
-            listed = deployment.Part(given).part("known").told
+            listed = deployment.SettingsSection(given).part("known").told
             known = Codec(told, limits.id_bytes).listed(
                 listed or {"revision": 0, "complete": False, "members": []}
             )
             part = "seed"
             seed = int(str(given["seed"]), 16)
             part = "store.address"
-            relay = deployment.Part(given).part("store").word("address", None)
+            relay = deployment.SettingsSection(given).part("store").word("address", None)
             split(relay)
             part = "listen"
             split(listen := one("LB_LISTEN", "listen"))
--- a/lapispass/net/probes.py
+++ b/lapispass/net/probes.py
@@ -100,7 +100,7 @@
             return
         self.counters[f"probes.reason_{reason}"] += 1
         took_us = (time.monotonic_ns() - began) // 1000
-        self.tell(interface.Probed(backend, reason, took_us, load))
+        self.tell(interface.ProbeResult(backend, reason, took_us, load))
 
     async def ask(self, link: Link) -> tuple[int, bytes]:
         await link.send("GET", "/stats" if self.codec.told.load_fields else "/health/live")
--- a/lapispass/net/registry.py
+++ b/lapispass/net/registry.py
@@ -74,13 +74,13 @@
         self.version: int | None = known.version if known.entries else None
         self.addresses: dict[interface.BackendId, str] = dict(known.addresses)
         self.born: dict[interface.BackendId, int] = {
-            entry.backend: entry.born_us or 0 for entry in known.entries
+            entry.backend: entry.started_us or 0 for entry in known.entries
         }
         self.asked, self.open = asyncio.Event(), asyncio.Event()
         self.strange, self.stranger = asyncio.Event(), None  # a server that only others name
         self.heard_at = 0.0  # when the list last told something, or a watch was opened
         self.slow = 0  # lists and lines in a row that were begun and did not come whole in time
-        tell(interface.Listed("remembered", known.entries))
+        tell(interface.RegistryUpdate("remembered", known.entries))
 
     def follow(self) -> None:
         """Asks for the changes from now on; what was missed comes first."""
@@ -98,7 +98,7 @@
                 if self.place.ready:
                     continue  # it goes on from the version known: nothing is missed
                 self.counters["registry.lost"] += 1
-                self.tell(interface.Listed("lost", ()))
+                self.tell(interface.RegistryUpdate("lost", ()))
                 # Guards the list where no turn can ask, as while a relay call is unsettled.
                 unasked_us = int(self.limits.unasked_us * random.uniform(0.8, 1.2))
                 try:
@@ -252,7 +252,7 @@
         # An entry that can't be read must not pass for one left out, which would mean gone.
         kind = "whole" if listing.whole and not listing.unreadable and not unknown else "changes"
         try:
-            self.tell(interface.Listed(kind, entries))
+            self.tell(interface.RegistryUpdate(kind, entries))
         except Overfull:
             self.version = None  # what was not taken in is told again with the whole list
             raise
--- a/lapispass/net/relay.py
+++ b/lapispass/net/relay.py
@@ -55,9 +55,9 @@
         for order in orders:
             text = self.codec.written(order)
             match order:
-                case interface.Own(table, backend, _):
+                case interface.SetTableEntry(table, backend, _):
                     item = Written(text, table, backend)
-                case interface.Empty(table) | interface.Admit(table):
+                case interface.ClearTable(table) | interface.SetAdmission(table):
                     item = Written(text, table, None)
                 case _:
                     item = Written(text, None, None)
@@ -318,8 +318,8 @@
         if event is None:
             return
         if self.picture is not None:
-            if isinstance(event, interface.Joined | interface.Held) or (
-                isinstance(event, interface.Given) and event.ours
+            if isinstance(event, interface.ProxyJoined | interface.StoredOwner) or (
+                isinstance(event, interface.SliceGrant) and event.granted
             ):
                 self.picture.append(event)
                 return
@@ -329,16 +329,16 @@
     def pass_on(self, event: interface.Event) -> None:
         self.tell(event)  # first: what was not taken in must not count as known
         match event:
-            case interface.Joined(proxy):
+            case interface.ProxyJoined(proxy):
                 self.joined.add(proxy)
-            case interface.Left(proxy):
+            case interface.ProxyLeft(proxy):
                 self.joined.discard(proxy)
-            case interface.Given(number, ours):
+            case interface.SliceGrant(number, ours):
                 self.calls.given.add(number)  # orders from before are void
                 self.calls.rows.pop(number, None)
                 if ours:
                     self.calls.rows[number] = None
-            case interface.Held(number, backend):
+            case interface.StoredOwner(number, backend):
                 self.calls.rows[number] = backend
 
     def compare(self) -> None:
@@ -347,20 +347,20 @@
             return
         self.picture, self.failed, self.spoilt = None, 0, 0
         self.calls.quiet.release()
-        held = {event.slice: event.backend for event in picture if isinstance(event, interface.Held)}
-        ours = {event.slice for event in picture if isinstance(event, interface.Given)}
+        held = {event.slice: event.backend for event in picture if isinstance(event, interface.StoredOwner)}
+        ours = {event.slice for event in picture if isinstance(event, interface.SliceGrant)}
         # Guards against a proxy that left and came back in the gap: what it answered before counts no more.
         for proxy in sorted(self.joined):
-            self.pass_on(interface.Left(proxy))
+            self.pass_on(interface.ProxyLeft(proxy))
         for number in sorted(set(self.calls.rows) - ours):
-            self.pass_on(interface.Given(number, False))
+            self.pass_on(interface.SliceGrant(number, False))
         for event in picture:
-            if isinstance(event, interface.Joined):  # its stream may have stood all the time
+            if isinstance(event, interface.ProxyJoined):  # its stream may have stood all the time
                 self.pass_on(event._replace(reads_store=False))
         for number in sorted(ours):
             # A slice that still stands as ordered was not given anew; its handover goes on.
             if number not in self.calls.rows or self.calls.rows[number] != held.get(number):
-                self.pass_on(interface.Given(number, True))
+                self.pass_on(interface.SliceGrant(number, True))
                 if number in held:
-                    self.pass_on(interface.Held(number, held[number]))
+                    self.pass_on(interface.StoredOwner(number, held[number]))
         self.log.say("picture complete", joined=len(self.joined), slices=len(ours))
--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -56,7 +56,7 @@
         self.news = News(launch.relay, self.calls, self.tell, *common)
         self.probes = Probes(self.tell, *common)
         self.registry = Registry(launch.registry, launch.known, self.tell, *common, self.probes.forget)
-        self.figures = IntervalFigures(self.limits.late_us, launch.told.bare_us // 2)
+        self.figures = IntervalFigures(self.limits.late_us, launch.told.unserved_limit_us // 2)
         self.collectors = Collectors(self.tell, *common, self.figures)
         self.controller = Controller(launch.told, launch.seed, self.clock.now())
         self.slice_report = SliceReport(self.figures.lines, self.controller.handover, self.limits)
@@ -70,14 +70,14 @@
         """
         waiting = len(self.inbox)
         if waiting >= self.limits.events and isinstance(
-            event, interface.Met | interface.Came | interface.Probed
+            event, interface.ServerReport | interface.RequestReport | interface.ProbeResult
         ):
             self.counters["service.events_left_out"] += 1
             self.log.rate_limited("sums left out", waiting=waiting)
             return
-        if waiting >= 2 * self.limits.events and event != interface.Listed("lost", ()):
+        if waiting >= 2 * self.limits.events and event != interface.RegistryUpdate("lost", ()):
             raise Overfull(f"{waiting} events wait")
-        if isinstance(event, interface.Held | interface.Met):
+        if isinstance(event, interface.StoredOwner | interface.ServerReport):
             self.registry.named(event.backend)
         self.inbox.append(event)
         self.news_came.set()
@@ -179,13 +179,13 @@
         """One turn after the other: waits, gathers, asks the module, carries out what it orders."""
         last = 0
         while True:
-            await self.due(last + self.launch.told.turn_every_us)
+            await self.due(last + self.launch.told.turn_interval_us)
             last = now = self.clock.now()
             events, self.inbox = self.inbox, []
             self.news_came.clear()
             for token in [token for token, at in self.wakes.items() if at <= now]:
                 del self.wakes[token]
-                events.append(interface.Woken(token))
+                events.append(interface.TimerFired(token))
             orders = self.controller.turn(now, events)
             self.note_time(now)
             self.note_turn(now, events, orders)
@@ -233,22 +233,22 @@
         if self.clock.now() - expected > self.limits.late_us:
             self.counters["service.late_turns"] += 1
             self.log.rate_limited("turn late", late_us=self.clock.now() - expected)
-            await asyncio.sleep(self.launch.told.turn_every_us / 1e6)
+            await asyncio.sleep(self.launch.told.turn_interval_us / 1e6)
 
     async def carry_out(self, orders: list[interface.Order]) -> None:
         """The turn's orders; those for proxies are one relay call, settled before the next turn."""
         for_proxies: list[interface.Order] = []
         for order in orders:
             match order:
-                case interface.Log(text):
+                case interface.LogMessage(text):
                     self.log.say("mode", text=text)
-                case interface.Wake(token, at_us):
+                case interface.SetTimer(token, at_us):
                     self.wakes[token] = at_us
                 case interface.Probe(backend):
                     self.probes.start(backend, self.registry.addresses.get(backend))
-                case interface.Follow():
+                case interface.WatchRegistry():
                     self.registry.follow()
-                case interface.Bind():
+                case interface.BindProxy():
                     self.counters["service.orders_unknown"] += 1
                     self.log.rate_limited("order unknown", order=order)
                 case _:
--- a/lapispass/operator/read.py
+++ b/lapispass/operator/read.py
@@ -11,7 +11,7 @@
 
 from lapispass.core import momentary
 from lapispass.core.facts import Bounds, ConnectionClass, DrainTerms
-from lapispass.interface import Deployment, VisitClass
+from lapispass.interface import Deployment, RequestClass
 from lapispass.operator.operator_pb2 import Gate, Node, Operator
 from lapispass.operator.places import lines_of
 from lapispass.retry import retry_blocking
@@ -284,7 +284,7 @@
 
     return Deployment(
         classes=tuple(
-            VisitClass(
+            RequestClass(
                 kind.name, kind.agreed_ms * MS, kind.patience_ms * MS, kind.benefit, kind.writes, False
             )
             for kind in given.visit_class
@@ -294,21 +294,21 @@
         slices=given.slices,
         lease_us=us("lease_ms", 3000),
         linger_us=us("write_life_ms", 5000),
-        bare_us=us("bare_ms", 20_000),
+        unserved_limit_us=us("bare_ms", 20_000),
         lines_per_s=1e6,
-        head_lines=1.0,
-        queue_lines=1e7,
-        messages_most=1000,
-        messages_over_us=10_000 * MS,
-        report_every_us=us("report_ms", 1000),
-        usual_retry=given.tries if given.HasField("tries") else 1,
-        asks_for_list=False,
-        may_probe=given.probes,
-        gone_binds=True,
-        admits="share",
+        message_overhead_lines=1.0,
+        queue_limit_lines=1e7,
+        max_messages=1000,
+        message_window_us=10_000 * MS,
+        report_interval_us=us("report_ms", 1000),
+        default_retry=given.tries if given.HasField("tries") else 1,
+        subscribes_to_registry=False,
+        probes_allowed=given.probes,
+        must_leave_gone=True,
+        admission_mode="share",
         cold_us=us("cold_ms", 10_000),
         cold_share=given.cold_share if given.HasField("cold_share") else 0.2,
-        fall_multiple=2.5,
+        cold_overload_factor=2.5,
         load_fields=(),
     )
 
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -60,7 +60,7 @@
         self.takeover = Takeover(self.told.slices, self.lease.holder, linger_us=ttl_s * 100_000)
         self.writer = RecordWriter(self.service, self.lease, self.takeover, self.counters)
         self.snapshot = tables.Tables(self.told.slices)  # what all controllers together have published
-        self.mine = Picture(self.told.slices, self.told.classes, self.told.admits == "share")
+        self.mine = Picture(self.told.slices, self.told.classes, self.told.admission_mode == "share")
         self.revision, self.read_at = 0, 0
         self.pending: deque[tuple[int, int]] = deque(maxlen=4096)  # our turn, the revision of others it shows
         self.answered = -1
@@ -93,7 +93,7 @@
 
     def stop_all(self) -> None:
         for number in sorted(self.takeover.acting):
-            self.tell(interface.Given(number, False))
+            self.tell(interface.SliceGrant(number, False))
         self.takeover.acting.clear()
 
     def may_let_write(self, now: int) -> bool:
@@ -183,7 +183,7 @@
             holder = before[member.name]
             self.gone_at[holder] = now
             if (number := self.numbers.pop(holder, None)) is not None:
-                self.tell(interface.Left(number))
+                self.tell(interface.ProxyLeft(number))
                 self.desk.numbers.give(now, number)
             self.counters["peers.left"] += 1
             self.log.say("controller gone", holder=holder)
@@ -194,7 +194,7 @@
             number = self.numbers[holder] = self.desk.numbers.take(now)
             self.peer_marks[member.name] = -1
             self.peer_answers.pop(member.name, None)
-            self.tell(interface.Joined(number, True, "", None))
+            self.tell(interface.ProxyJoined(number, True, "", None))
             self.counters["peers.joined"] += 1
             self.log.say("controller there", holder=holder)
         horizon = now - 100 * self.told.lease_us
@@ -243,7 +243,7 @@
             ]
             if ready:
                 self.peer_marks[name] = ready[-1][1]
-                self.tell(interface.Answered(number, ready[-1][0], self.clock.now() - ready[-1][1]))
+                self.tell(interface.BarrierAck(number, ready[-1][0], self.clock.now() - ready[-1][1]))
 
     async def looks(self) -> None:
         """Claims, releases, and what others may count on."""
@@ -266,7 +266,7 @@
                 self.leaving,
             )
             for number in work.stop:
-                self.tell(interface.Given(number, False))
+                self.tell(interface.SliceGrant(number, False))
             for number in work.start:
                 self.counters["peers.slices_taken"] += 1
                 self.begin(number)
@@ -313,7 +313,7 @@
         while True:
             await self.due()
             events, orders = self.decide()
-            self.carry_out([order for order in orders if not isinstance(order, interface.Mark)])
+            self.carry_out([order for order in orders if not isinstance(order, interface.Barrier)])
             changes, mark = self.mine.turn(events, orders, self.desk.addresses)
             self.unreported.update(
                 {change.node: change.out for change in changes if isinstance(change, tables.SetOut)}
@@ -353,7 +353,7 @@
             self.show(shown, mark)
             self.counters["host.commits"] += bool(slices)
             self.marks.append((mark, revision, self.clock.now()))
-            self.tell(interface.Answered(STORE, mark, 0))
+            self.tell(interface.BarrierAck(STORE, mark, 0))
             self.answer_marks()
 
     def out_key(self, node: str) -> str:
@@ -373,17 +373,17 @@
             return
         for number in numbers:
             if number in self.takeover.acting:
-                self.tell(interface.Given(number, False))
+                self.tell(interface.SliceGrant(number, False))
                 self.begin(number)
 
     def begin(self, number: int) -> None:
         """Hands a slice of ours to the module, with its owner."""
-        self.tell(interface.Given(number, True))
+        self.tell(interface.SliceGrant(number, True))
         record = self.takeover.records[number]
         # Where writes are shut an earlier owner may still hold some: the module begins with an empty table
         # and its own gate, while readers go on with what stands.
         if record.owner and not record.shut:
-            self.tell(interface.Held(number, record.owner))
+            self.tell(interface.StoredOwner(number, record.owner))
 
     def as_records(self, changes: Sequence[tables.Change]) -> dict[int, Record]:
         """A turn's changes of slices that are ours."""
--- a/lapispass/policy/admission.py
+++ b/lapispass/policy/admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lapispass import interface
-from lapispass.core.messages import Offer
+from lapispass.core.messages import SendBudget
 from lapispass.core.part import SlicePart
 from lapispass.core.slices import Level, Slice
 from lapispass.core.units import NEVER
@@ -17,14 +17,14 @@
     def begin(self) -> None:
         self.level_at, self.urgent_left = 0, False
 
-    def orders(self, offer: Offer, room: int, spare: int) -> list[interface.Order]:
+    def orders(self, offer: SendBudget, room: int, spare: int) -> list[interface.Order]:
         """So many shares as fit: `room` for urgent ones, `spare` for the others. What is left stays open."""
         due: list[Level] = []
         for server in self.fleet.in_order(self.holdings.unsettled):
             levels = self.levels(server)
             if not levels:
                 self.holdings.unsettled.discard(server.number)
-            due += [level for level in levels if level.urgent or offer.ordinary]
+            due += [level for level in levels if level.urgent or offer.deferrable_lines]
         due.sort(key=lambda level: -level.gain)
         orders: list[interface.Order] = []
         self.urgent_left = False
@@ -38,8 +38,10 @@
             self.level_at = self.turn.now + self.rules.pause_us
         return orders
 
-    def order(self, slice_: Slice, place: int, share: float) -> interface.Admit:
-        return interface.Admit(slice_.number, 1 << place, self.rules.retries[place], share * self.rules.all)
+    def order(self, slice_: Slice, place: int, share: float) -> interface.SetAdmission:
+        return interface.SetAdmission(
+            slice_.number, 1 << place, self.rules.retries[place], share * self.rules.all
+        )
 
     def levels(self, server: Backend) -> list[Level]:
         """What should be ordered for a server's slices."""
--- a/lapispass/policy/channel.py
+++ b/lapispass/policy/channel.py
@@ -4,10 +4,10 @@
 
 from lapispass.core.channel_state import ChannelState
 from lapispass.core.decay import DecayingSum
-from lapispass.core.messages import Offer
+from lapispass.core.messages import SendBudget
 from lapispass.core.proxies import Proxies
 from lapispass.core.turn import Turn
-from lapispass.core.units import NEVER, SECOND
+from lapispass.core.units import NEVER, SECOND_US
 from lapispass.policy.rules import Rules
 
 
@@ -16,7 +16,7 @@
 
     def __init__(self, turn: Turn, rules: Rules, proxies: int) -> None:
         known = Proxies(range(proxies), turn.now, rules.keep_us, rules.lease_us)
-        slowest = DecayingSum(8 * SECOND, float(SECOND), turn.now)
+        slowest = DecayingSum(8 * SECOND_US, float(SECOND_US), turn.now)
         super().__init__(turn, known, rules.lines_per_us, slowest)
         self.rules, self.head_lines, self.first = rules, rules.head_lines, list(rules.first)
 
@@ -37,7 +37,7 @@
             gap = max(gap, (self.written[0] + rules.messages_over_us - self.turn.now) // max(1, left))
         return last + gap
 
-    def offer(self) -> Offer | None:
+    def offer(self) -> SendBudget | None:
         """What may be written now."""
         now, rules, joined, left = self.turn.now, self.rules, self.joined, self.messages_left()
         if min(left, joined) <= 0 or now < self.next_message_at(left):
@@ -51,4 +51,4 @@
         idle = (lines + 1) // 2 if backlog < rules.queue_lines / 8 else 0  # where the queue is tight
         ordinary = max(idle, lines - int(rules.queue_lines / 4 / joined))
         may = left > rules.messages_most // 3
-        return Offer(lines, may * ordinary, self.mark + 1, settle_us, self.unmarked)
+        return SendBudget(lines, may * ordinary, self.mark + 1, settle_us, self.unmarked)
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -4,7 +4,7 @@
 
 from lapispass import interface
 from lapispass.core.fleet_index import FleetIndex
-from lapispass.core.messages import Offer
+from lapispass.core.messages import SendBudget
 from lapispass.core.slice_table import SliceTable, Times
 from lapispass.core.slices import Slice
 from lapispass.core.turn import Turn
@@ -29,10 +29,10 @@
         common = (turn, rules, fleet, self.holdings, self.shut_out)
         self.placement, self.admission = Placement(*common), Admission(*common)
         self.withdrawals = Withdrawals(*common)
-        self.offer = Offer(0, 0, 0, rules.lease_us, False)
+        self.offer = SendBudget(0, 0, 0, rules.lease_us, False)
         self.turns_without_room = 0  # slices were left for a later turn
 
-    def act(self, offer: Offer) -> int:
+    def act(self, offer: SendBudget) -> int:
         """One message to the proxies, where there is something to say; returns when something is due next."""
         self.offer = offer
         left_over = self.compose()
@@ -41,7 +41,12 @@
 
     def next_due(self, left_over: bool) -> int:
         """When the next step is due; one that waits for answers or for room is looked for all the time."""
-        if left_over or self.holdings.moving() or self.admission.urgent_left or not self.offer.ordinary:
+        if (
+            left_over
+            or self.holdings.moving()
+            or self.admission.urgent_left
+            or not self.offer.deferrable_lines
+        ):
             return self.turn.now
         level_at = self.admission.level_at if self.holdings.unsettled else NEVER
         return min(level_at, self.withdrawals.next_due(), self.placement.next_relief())
@@ -57,10 +62,10 @@
         orders = self.withdrawals.orders(offer)
         moving = self.holdings.moving()
         given = [slice_ for slice_ in moving if slice_.mark == NEVER]
-        room, spare = offer.lines - len(orders), offer.ordinary - len(orders)
+        room, spare = offer.lines - len(orders), offer.deferrable_lines - len(orders)
         cleared = self.channel.proxies.cleared(now) if moving else NEVER
         for slice_ in moving:
-            slice_.mark = min(slice_.mark, offer.mark)  # none yet: given with an empty table
+            slice_.mark = min(slice_.mark, offer.barrier)  # none yet: given with an empty table
             if room > 0 and (step := self.advance(slice_, cleared)):
                 orders += step  # a cold owner's levels go with it, so their room is kept
                 cold = slice_.owner is not None and not self.fleet.servers[slice_.owner].warm
@@ -74,7 +79,9 @@
         orders += self.admission.orders(offer, offer.lines - len(orders) - kept, ordinary)
         fitting = opening[: max(0, offer.lines - len(orders))]
         orders += [self.empty(slice_) for slice_ in fitting]
-        joiners = offer.unmarked and offer.ordinary and any(s.step != "steady" for s in moving)
+        joiners = (
+            offer.joined_since_barrier and offer.deferrable_lines and any(s.step != "steady" for s in moving)
+        )
         if orders or given or joiners:
             self.channel.publish(orders)
         return len(fitting) < len(opening)
@@ -85,10 +92,10 @@
             slice_.gate_at = None
         slice_.since = self.unserved_since(slice_)
         self.holdings.assign(slice_, None)
-        slice_.step, slice_.mark = "emptied", self.offer.mark
+        slice_.step, slice_.mark = "emptied", self.offer.barrier
         slice_.stepped_at = self.turn.now
         self.holdings.stepped(slice_)
-        return interface.Empty(slice_.number)
+        return interface.ClearTable(slice_.number)
 
     def to_open(self) -> list[Slice]:
         """Which slices leave their owner now: all of those that drain, died or fell ill come first."""
@@ -100,7 +107,7 @@
         urgent.sort(key=lambda s: (out.get(s.owner, now) if s.owner is not None else now, -s.rate, s.serial))
         if not self.placement.any_open():
             return []
-        if urgent or not self.offer.ordinary:
+        if urgent or not self.offer.deferrable_lines:
             return urgent
         others = self.placement.to_relieve()
         del others[max(1, len(others) // 2) :]
@@ -159,9 +166,9 @@
             return []
         self.placement.give(slice_, owner)
         self.holdings.unsettled.add(owner)
-        slice_.step, slice_.mark, slice_.shut = "closing", self.offer.mark, not clean
+        slice_.step, slice_.mark, slice_.shut = "closing", self.offer.barrier, not clean
         slice_.stepped_at = now
         self.holdings.stepped(slice_)
         slice_.levels = {} if clean else dict.fromkeys(rules.writes, 0.0)
         shut = [self.admission.order(slice_, place, 0.0) for place in slice_.levels]
-        return [interface.Own(slice_.number, owner, 1.0), *shut]
+        return [interface.SetTableEntry(slice_.number, owner, 1.0), *shut]
--- a/lapispass/policy/health.py
+++ b/lapispass/policy/health.py
@@ -4,14 +4,14 @@
 
 from lapispass import interface
 from lapispass.core.decay import Traffic
-from lapispass.core.messages import LISTED
+from lapispass.core.messages import RUNNING_STATES
 from lapispass.core.server_state import ServerState
 from lapispass.core.start_times import local_start
 from lapispass.core.turn import Turn
-from lapispass.core.units import NEVER, SECOND
+from lapispass.core.units import NEVER, SECOND_US
 from lapispass.policy.rules import Rules
 
-HALF_LIFE_US = 2 * SECOND
+HALF_LIFE_US = 2 * SECOND_US
 NEGLIGIBLE = 0.01  # tries left of a decaying sum
 
 
@@ -22,15 +22,15 @@
 
     def __init__(self, turn: Turn, number: interface.BackendId, place: int, rules: Rules) -> None:
         super().__init__(turn, number, place)
-        self.rules, self.alive, self.away_us = rules, not rules.may_probe, 8 * SECOND
+        self.rules, self.alive, self.away_us = rules, not rules.may_probe, 8 * SECOND_US
 
     def spread_first_probe(self) -> None:
         """Guards servers: all controllers that start at once probe them all."""
         self.probe_at += int(self.turn.random.draw() * self.rules.lease_us)
 
-    def list_entry(self, entry: interface.Entry, live: bool = False) -> None:
+    def list_entry(self, entry: interface.RegistryEntry, live: bool = False) -> None:
         """What the list says of it; `live` where the list is followed without a gap."""
-        self.entry, now, reported = entry, self.turn.now, entry.born_us
+        self.entry, now, reported = entry, self.turn.now, entry.started_us
         started_anew = bool(reported) and reported != self.born_reported
         if started_anew and self.born_reported:
             self.turn_to("well", "started anew")
@@ -44,7 +44,7 @@
             self.born_reported = reported
             self.born = local_start(reported, now, live, self.rules.notice_us)
 
-    def met(self, report: interface.Met) -> None:
+    def met(self, report: interface.ServerReport) -> None:
         """What the proxies of a zone met there."""
         if report.load:
             self.learn(dict(zip(self.rules.load_fields, report.load, strict=False)))
@@ -112,19 +112,22 @@
         """Without a good answer until then it is suspected of silence, if reports about others come."""
         if self.mode != "well" or not self.rate:
             return NEVER
-        return self.good_at + 1 + max(self.rules.quiet_us, int(6 * SECOND / self.rate))
+        return self.good_at + 1 + max(self.rules.quiet_us, int(6 * SECOND_US / self.rate))
 
     def judge(self) -> None:
         """Probes where there is doubt; tells silence, quick errors and a queue apart."""
         now, rules, state = self.turn.now, self.rules, self.stands()
         # Silence counts only while reports about others come: late reports of all are nobody's fault.
-        quiet, suspect = self.turn.heard_at - self.good_at, self.turn.heard_at >= self.suspected_at()
+        quiet, suspect = (
+            self.turn.last_report_at - self.good_at,
+            self.turn.last_report_at >= self.suspected_at(),
+        )
         # Guards against one left out for ever, too: while it is ill, a lost probe is not its last.
         in_doubt = self.doubtful(state) or suspect or state == "ill"
         if rules.may_probe and in_doubt and now >= self.probe_at:
-            self.probe_at = now + SECOND
+            self.probe_at = now + SECOND_US
             self.turn.orders.append(interface.Probe(self.number))
-        if state not in LISTED:
+        if state not in RUNNING_STATES:
             return
         traffic = self.traffic or Traffic(HALF_LIFE_US, now)
         tries, done, spent = traffic.tries.read(now), traffic.done.read(now), traffic.spent.read(now)
@@ -149,7 +152,7 @@
     def adapt(self, short: float, slow: float, pace: float) -> None:
         """Guards against a queue that makes every visit late: lets in what it completes."""
         if self.waiting is not None:  # the time to work off what waits tells more than the mean
-            slow = 2 * SECOND * self.waiting / max(0.5, pace) / self.rules.agreed_us
+            slow = 2 * SECOND_US * self.waiting / max(0.5, pace) / self.rules.agreed_us
         sure = self.speed * self.weight / max(0.1, self.rate) if self.speed else 1.0
         if slow > 0.6 or (short > 0.15 and slow > 0.3):  # losses beside quick answers are no queue
             fit = max(min(0.2, 0.5 * sure), self.fit * (max(0.5, 1 - max(short, slow / 4))))
@@ -170,7 +173,7 @@
             at = min(at, self.probe_at)
         if (suspected_at := self.suspected_at()) < NEVER:
             at = min(at, self.next_silence(suspected_at))
-        if self.state in LISTED:
+        if self.state in RUNNING_STATES:
             if not self.warm:
                 steps = self.rate or rules.spreads
                 at = min(at, now + rules.look_us if steps else self.born + rules.cold_us)
@@ -182,7 +185,7 @@
 
     def next_silence(self, suspected_at: int) -> int:
         """When its silence has to be judged; past that, the next report about any server brings it up."""
-        now, heard_at = self.turn.now, self.turn.heard_at
+        now, heard_at = self.turn.now, self.turn.last_report_at
         silent_at = max(suspected_at, self.good_at + 3 * self.rules.quiet_us + 1)
         step = suspected_at if heard_at < suspected_at else silent_at
         if heard_at < step <= now:
--- a/lapispass/policy/placement.py
+++ b/lapispass/policy/placement.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from lapispass.core.messages import LISTED
+from lapispass.core.messages import RUNNING_STATES
 from lapispass.core.part import SlicePart
 from lapispass.core.slices import Slice
 from lapispass.core.units import NEVER
@@ -38,7 +38,7 @@
     def is_open(self, number: BackendId) -> bool:
         """Whether a server may own slices: listed, and not ill where the others are well."""
         server = self.fleet.servers.get(number)
-        if server is None or server.state not in LISTED:
+        if server is None or server.state not in RUNNING_STATES:
             return False
         return server.state != "ill" or server.zone in self.struck
 
--- a/lapispass/policy/withdrawals.py
+++ b/lapispass/policy/withdrawals.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lapispass import interface
-from lapispass.core.messages import Offer
+from lapispass.core.messages import SendBudget
 from lapispass.core.part import SlicePart
 from lapispass.core.units import NEVER
 from lapispass.policy.health import Backend
@@ -22,7 +22,7 @@
         owners = self.fleet.in_order(self.holdings.owned)
         return [server for server in owners if server.number not in out and again.has(server)]
 
-    def orders(self, offer: Offer) -> list[interface.Order]:
+    def orders(self, offer: SendBudget) -> list[interface.Order]:
         """So many as fit into the turn; the rest comes first next time."""
         now, noted = self.turn.now, self.shut_out
         self.postpone_repeats()
@@ -33,7 +33,7 @@
             self.repeat_at = now + self.rules.bare_us // 8
         held_out = [number for number in self.fleet.out if number in self.holdings.owned]
         orders: list[interface.Order] = []
-        room, self.left_over = offer.ordinary // 2, False
+        room, self.left_over = offer.deferrable_lines // 2, False
         for server in self.fleet.in_order({*held_out, *noted.out, *noted.repeats}):
             out, number = server.state == "out", server.number
             if not self.concerns(server, room):
@@ -43,9 +43,9 @@
                 self.left_over = True
                 break
             room -= not out and number not in noted.out
-            if noted.say(server, out, offer.mark, now):
-                self.turn.touched.add(number)  # it may be forgotten now
-            orders.append(interface.Withdraw(number, out))
+            if noted.say(server, out, offer.barrier, now):
+                self.turn.updated_servers.add(number)  # it may be forgotten now
+            orders.append(interface.SetWithdrawn(number, out))
         noted.repeats -= noted.out.keys()
         return orders
 
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -41,13 +41,13 @@
 TOLD_WRONGLY: dict[str, dict[str, float]] = {
     "write life forgotten": {"linger_us": 0},
     "cold servers called warm": {"cold_us": 1},
-    "queue called endless": {"queue_lines": 1e9, "lines_per_s": 1e9},
+    "queue called endless": {"queue_limit_lines": 1e9, "lines_per_s": 1e9},
 }
 LOST_ORDERS: dict[str, Callable[[interface.Order], bool]] = {
-    "withdrawals lost": lambda order: isinstance(order, interface.Withdraw) and order.out,
-    "returns lost": lambda order: isinstance(order, interface.Withdraw) and not order.out,
-    "owners lost": lambda order: isinstance(order, interface.Own),
-    "levels lost": lambda order: isinstance(order, interface.Admit),
+    "withdrawals lost": lambda order: isinstance(order, interface.SetWithdrawn) and order.withdrawn,
+    "returns lost": lambda order: isinstance(order, interface.SetWithdrawn) and not order.withdrawn,
+    "owners lost": lambda order: isinstance(order, interface.SetTableEntry),
+    "levels lost": lambda order: isinstance(order, interface.SetAdmission),
 }
 
 
@@ -67,9 +67,10 @@
         self.deployment = settings or deployment(size)
         zones, slices = self.deployment.zones, self.deployment.slices
         self.list = {
-            f"s{n}": interface.Entry(f"s{n}", zones[n % 2], "ready", 1.0, None) for n in range(size.servers)
+            f"s{n}": interface.RegistryEntry(f"s{n}", zones[n % 2], "ready", 1.0, None)
+            for n in range(size.servers)
         }
-        self.changes: list[tuple[int, interface.Entry]] = [(0, entry) for entry in self.list.values()]
+        self.changes: list[tuple[int, interface.RegistryEntry]] = [(0, entry) for entry in self.list.values()]
         self.owner: dict[int, str | None] = {n: f"s{n % size.servers}" for n in range(slices)}
         self.step = dict.fromkeys(self.owner, 0)  # of a slice's table in the store
         self.levels: dict[int, dict[int, float]] = {n: {} for n in self.owner}
@@ -84,7 +85,11 @@
         self.hosts = [ControllerHost(n) for n in range(size.controllers)]
         self.later: list[tuple[int, Callable[[], object]]] = []
         self.registry_free, self.registry_down = self.now, 0
-        bounds = Bounds(self.deployment.bare_us + SLACK, 1500 * MS + SLACK, int(self.deployment.queue_lines))
+        bounds = Bounds(
+            self.deployment.unserved_limit_us + SLACK,
+            1500 * MS + SLACK,
+            int(self.deployment.queue_limit_lines),
+        )
         self.judge = Checker(bounds, int)
         self.handovers = self.newcomers = 0
         for host in self.hosts:
@@ -104,12 +109,12 @@
         wrongly = TOLD_WRONGLY.get(self.planted, {})
         settings = replace(self.deployment, **wrongly)  # type: ignore[arg-type]
         host.process = self.make(settings, self.chance.randrange(1 << 32), self.now)
-        known: dict[str, interface.Entry] = {}
+        known: dict[str, interface.RegistryEntry] = {}
         for _, entry in self.changes[: host.known]:
             known[str(entry.backend)] = entry
         standing = tuple(entry for entry in known.values() if entry.state != "gone")
         host.events, host.watch_at, host.received = (
-            [interface.Listed("remembered", standing)],
+            [interface.RegistryUpdate("remembered", standing)],
             None,
             host.known,
         )
@@ -145,11 +150,11 @@
         if not host.process or self.charge[number] == host.number:
             return
         if (former := self.charge[number]) is not None:
-            self.hosts[former].events.append(interface.Given(number, False))
+            self.hosts[former].events.append(interface.SliceGrant(number, False))
         self.charge[number], self.given_at[number], self.levels[number] = host.number, self.now, {}
-        host.events.append(interface.Given(number, True))
+        host.events.append(interface.SliceGrant(number, True))
         if (owner := self.owner[number]) is not None:
-            host.events.append(interface.Held(number, owner))
+            host.events.append(interface.StoredOwner(number, owner))
         self.proxies.read_afresh(number)
 
     def join(self, number: int, host: ControllerHost) -> None:
@@ -163,7 +168,7 @@
         stream.waiting.clear()
         stream.travelling.clear()
         zone = self.deployment.zones[number % 2]
-        host.events.append(interface.Joined(number, not stream.met, zone, 3.0, reads_store=True))
+        host.events.append(interface.ProxyJoined(number, not stream.met, zone, 3.0, reads_store=True))
         stream.met = True
 
     def leave(self, number: int, host: ControllerHost) -> None:
@@ -178,7 +183,7 @@
 
             def noticed() -> None:
                 if host.process is process and stream.joined_at < 0:
-                    host.events.append(interface.Left(number))
+                    host.events.append(interface.ProxyLeft(number))
 
             self.at(self.some(0, 1), noticed)
             self.at(self.some(1.1, 3), lambda: self.join(number, host))
@@ -186,9 +191,11 @@
     def change(self, name: str, state: str) -> None:
         """The list will say so; a server that it calls ready has just started."""
         old = self.list.get(
-            name, interface.Entry(name, self.deployment.zones[self.newcomers % 2], state, 1.0, None)
+            name, interface.RegistryEntry(name, self.deployment.zones[self.newcomers % 2], state, 1.0, None)
+        )
+        self.list[name] = old._replace(
+            state=state, started_us=self.now if state == "ready" else old.started_us
         )
-        self.list[name] = old._replace(state=state, born_us=self.now if state == "ready" else old.born_us)
         self.changes.append((self.now, self.list[name]))
 
     def boot(self, name: str) -> None:
@@ -201,7 +208,7 @@
         def tell() -> None:
             if self.servers[name].born == born:
                 self.change(name, "ready")
-                self.list[name] = self.list[name]._replace(born_us=born)
+                self.list[name] = self.list[name]._replace(started_us=born)
                 self.changes[-1] = (self.now, self.list[name])
 
         self.at(self.some(0.5, 2.0), tell)
@@ -247,7 +254,7 @@
     def lose_watch(self, host: ControllerHost) -> None:
         if host.process and host.watch_at is not None:
             host.watch_at = None
-            host.events.append(interface.Listed("lost", ()))
+            host.events.append(interface.RegistryUpdate("lost", ()))
 
     def registry_fails(self, seconds: float) -> None:
         self.registry_down = self.now + int(seconds * SECOND)
@@ -315,18 +322,18 @@
             entries = tuple(entry for _, entry in self.changes[host.received :])
             host.received = len(self.changes)
             if self.planted != "stale list":
-                host.events.append(interface.Listed("changes", entries))
+                host.events.append(interface.RegistryUpdate("changes", entries))
             for entry in entries:
                 self.hear(host, entry)
         for moment, entry in self.changes[host.received :]:
             if self.now > max(moment, self.registry_down) + HEARD_AT_LAST:
                 self.hear(host, entry)
 
-    def hear(self, host: ControllerHost, entry: interface.Entry) -> None:
+    def hear(self, host: ControllerHost, entry: interface.RegistryEntry) -> None:
         name = str(entry.backend)
         if entry.state == "ready":
             host.heard.pop(name, None)
-            host.fresh.setdefault(f"{name} {entry.born_us}", self.now)
+            host.fresh.setdefault(f"{name} {entry.started_us}", self.now)
         else:
             host.heard.setdefault(name, self.now)
 
@@ -341,18 +348,18 @@
         message = []
         for order in host.process.turn(self.now, events):
             match order:
-                case interface.Follow():
+                case interface.WatchRegistry():
                     self.call(host)
                 case interface.Probe(backend):
                     up = str(backend) in self.servers and self.servers[str(backend)].up
-                    found = interface.Probed(backend, 0 if up else 4, MS, None)
+                    found = interface.ProbeResult(backend, 0 if up else 4, MS, None)
                     self.at(20 * MS, partial(host.events.append, found))
                 case (
-                    interface.Own()
-                    | interface.Empty()
-                    | interface.Admit()
-                    | interface.Withdraw()
-                    | interface.Mark()
+                    interface.SetTableEntry()
+                    | interface.ClearTable()
+                    | interface.SetAdmission()
+                    | interface.SetWithdrawn()
+                    | interface.Barrier()
                 ):
                     message.append(order)
         if gone := LOST_ORDERS.get(self.planted):
@@ -371,7 +378,7 @@
         begins = max(self.now, self.registry_free)
         if self.now < self.registry_down or begins > self.now + SECOND:
             wait = 100 * MS if self.now < self.registry_down else SECOND
-            self.at(wait, lambda: host.events.append(interface.Listed("lost", ())))
+            self.at(wait, lambda: host.events.append(interface.RegistryUpdate("lost", ())))
             return
         self.registry_free = begins + 300 * MS
         host.watch_at = self.registry_free
@@ -382,26 +389,26 @@
             return
         for order in message:
             match order:
-                case interface.Own(slice_, backend, _) if self.charge[slice_] == host.number:
+                case interface.SetTableEntry(slice_, backend, _) if self.charge[slice_] == host.number:
                     self.owner[slice_] = str(backend)
                     self.step[slice_] += 1
                     self.handovers += 1
-                case interface.Empty(slice_) if self.charge[slice_] == host.number:
+                case interface.ClearTable(slice_) if self.charge[slice_] == host.number:
                     self.owner[slice_], self.levels[slice_] = None, {}
                     self.step[slice_] += 1
-                case interface.Admit(slice_, classes, _, share) if (
+                case interface.SetAdmission(slice_, classes, _, share) if (
                     slice_ is not None and self.charge[slice_] == host.number
                 ):
                     self.levels[slice_].update({kind: share for kind in (READ, WRITE) if classes >> kind & 1})
         steps = [(order, self.step.get(getattr(order, "table", None) or 0, 0)) for order in message]
-        lines = len(message) + self.deployment.head_lines
+        lines = len(message) + self.deployment.message_overhead_lines
         early = self.planted == "answers before applying" and host.process
-        marks = [order.number for order in message if isinstance(order, interface.Mark) and early]
+        marks = [order.number for order in message if isinstance(order, interface.Barrier) and early]
         for number, streams in enumerate(self.streams):
             if (stream := streams[host.number]).joined_at >= 0:
                 host.written += lines
                 stream.waiting.append(Message(host.written, self.now, steps))
-                host.events += [interface.Answered(number, mark, 50 * MS) for mark in marks]
+                host.events += [interface.BarrierAck(number, mark, 50 * MS) for mark in marks]
         self.judge.waiting(self.now, f"channel of n{host.number}", int(host.written - host.left))
 
     def seen(self) -> tuple[int, ...]:
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -114,22 +114,22 @@
         self.applied_us += self.world.now - message.issued
         for order, step in message.orders:
             match order:
-                case interface.Own(slice_, backend, _) if (
+                case interface.SetTableEntry(slice_, backend, _) if (
                     step > table[slice_][1] and self.world.charge[slice_] == host.number
                 ):
                     table[slice_] = (str(backend), step, {})
-                case interface.Empty(slice_) if (
+                case interface.ClearTable(slice_) if (
                     step > table[slice_][1] and self.world.charge[slice_] == host.number
                 ):
                     table[slice_] = (None, step, {})
-                case interface.Admit(slice_, classes, _, share) if (
+                case interface.SetAdmission(slice_, classes, _, share) if (
                     slice_ is not None and self.world.charge[slice_] == host.number
                 ):
                     table[slice_][2].update({kind: share for kind in (READ, WRITE) if classes >> kind & 1})
-                case interface.Withdraw(backend, out):
+                case interface.SetWithdrawn(backend, out):
                     (stream.out.add if out else stream.out.discard)(str(backend))
-                case interface.Mark(mark) if host.process:
-                    host.events.append(interface.Answered(number, mark, self.world.now - message.issued))
+                case interface.Barrier(mark) if host.process:
+                    host.events.append(interface.BarrierAck(number, mark, self.world.now - message.issued))
 
     def send_request(self, number: int, slice_: int, row: Row) -> None:
         """Whether the proxy has a pick now, and, by chance, a request."""
@@ -194,7 +194,7 @@
         if host is None or host.troubled_until + late_us > world.now:
             world.judge.bare.pop((party, slice_), None)
         elif any(
-            entry.state == "ready" and world.now - (entry.born_us or 0) > world.deployment.cold_us
+            entry.state == "ready" and world.now - (entry.started_us or 0) > world.deployment.cold_us
             for entry in world.list.values()
         ):
             world.judge.bare.setdefault((party, slice_), max(world.now, world.given_at[slice_]))
@@ -245,12 +245,14 @@
         for host in self.world.hosts:
             process = host.process
             sums: list[interface.Event] = [
-                interface.Met(name, self.world.servers[name].zone, lost, tries, 300 * MS, SECOND, None)
+                interface.ServerReport(
+                    name, self.world.servers[name].zone, lost, tries, 300 * MS, SECOND, None
+                )
                 for (number, name), (tries, lost) in met.items()
                 if number == host.number
             ]
             sums += [
-                interface.Came(slice_, names[kind], requests, 0, SECOND)
+                interface.RequestReport(slice_, names[kind], requests, 0, SECOND)
                 for (number, slice_, kind), requests in came.items()
                 if number == host.number
             ]
--- a/lapispass/store/assignments.py
+++ b/lapispass/store/assignments.py
@@ -128,9 +128,9 @@
         lines: dict[int, str | None] = {}
         for order in orders:
             match order:
-                case interface.Own(number, backend, _):
+                case interface.SetTableEntry(number, backend, _):
                     lines[number] = str(backend)
-                case interface.Empty(number):
+                case interface.ClearTable(number):
                     lines[number] = None
                 case _:
                     pass
--- a/lapispass/xds/codec.py
+++ b/lapispass/xds/codec.py
@@ -199,11 +199,13 @@
                             if metric.metric_name == "ms")  # fmt: skip
                 took = int(1000 * spent / max(1, int(row.total_successful_requests)))
                 events.append(
-                    interface.Met(
+                    interface.ServerReport(
                         node, zone, int(row.total_error_requests), tries, max(0, took), over_us, None
                     )
                 )
         dropped = int(stats.total_dropped_requests)
         if 0 < came + dropped < 1 << 40:
-            events.append(interface.Came(int(number), classes[suffix == "w"], came + dropped, lost, over_us))
+            events.append(
+                interface.RequestReport(int(number), classes[suffix == "w"], came + dropped, lost, over_us)
+            )
     return events
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -69,8 +69,8 @@
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
         self.shelf = Shelf()
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
-        resources.fixed(self.shelf, deployment.slices, max(1, deployment.usual_retry), terms.ttl_us)
+        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
+        resources.fixed(self.shelf, deployment.slices, max(1, deployment.default_retry), terms.ttl_us)
         self.write_routes = WriteRoutes(self.shelf)
         self.numbers = Numbers(first_number, terms.lease_us)
         self.clients: dict[str, tuple[Client, asyncio.Event]] = {}
@@ -294,15 +294,15 @@
         if step.left is not None:
             until = self.now() + step.left_after_us + self.terms.lease_us
             self.parted.append((until, step.left_proved))
-            left = interface.Left(step.left)
+            left = interface.ProxyLeft(step.left)
             if step.left_after_us:
                 asyncio.get_running_loop().call_later(step.left_after_us / 1e6, self.module.tell, left)
             else:
                 self.module.tell(left)
         if step.joined is not None:
-            self.module.tell(interface.Joined(step.joined, True, client.zone, None))
+            self.module.tell(interface.ProxyJoined(step.joined, True, client.zone, None))
         for number, mark, took_us in step.answered:
-            self.module.tell(interface.Answered(number, mark, took_us))
+            self.module.tell(interface.BarrierAck(number, mark, took_us))
 
     def take(self, client: Client, message: Message) -> None:
         """A client's message: an answer to the last response of its kind, and what it wants."""
@@ -361,7 +361,7 @@
                         send_all_clusters=True, report_endpoint_granularity=True
                     )
                     answer.load_reporting_interval.CopyFrom(
-                        codec.duration(self.deployment.report_every_us or 1_000_000)
+                        codec.duration(self.deployment.report_interval_us or 1_000_000)
                     )
                     await stream.send_message(answer)
                 nodes = {address.address: node for node, address in self.addresses.items()}
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -59,7 +59,7 @@
         self.open_store(source)
         # The store is a proxy that answers at once: without it nothing would be published while nobody may
         # write.
-        self.inbox.append(interface.Joined(STORE, True, "", None))
+        self.inbox.append(interface.ProxyJoined(STORE, True, "", None))
 
     def open_store(self, source: Source) -> None:
         """The store's table is kept; the module starts no handover there for one lease.
@@ -73,9 +73,9 @@
             raise BadFile([source.at("alone.store_file", str(error))]) from None
         owners = self.store.owners()
         for number in range(self.told.slices):
-            self.inbox.append(interface.Given(number, True))
+            self.inbox.append(interface.SliceGrant(number, True))
             if owner := owners.get(number):
-                self.inbox.append(interface.Held(number, owner))
+                self.inbox.append(interface.StoredOwner(number, owner))
 
     def may_open(self, error: Exception) -> bool:
         """Whether the store may open at a further attempt."""
@@ -91,14 +91,14 @@
         for node in source.told.node:
             weight = node.weight if node.HasField("weight") else None
             born_us = node.started_unix_ms * 1000 or None
-            entries.append(interface.Entry(node.id, node.zone, STATES[node.state], weight, born_us))
-        self.inbox.append(interface.Listed("whole", tuple(entries)))
+            entries.append(interface.RegistryEntry(node.id, node.zone, STATES[node.state], weight, born_us))
+        self.inbox.append(interface.RegistryUpdate("whole", tuple(entries)))
         self.desk.addresses = {node.id: tables.Address(node.address, node.zone) for node in source.told.node}
         self.news.set()
 
     def tell(self, event: interface.Event) -> None:
         """For the next turn. Sums are left out where too many wait."""
-        if len(self.inbox) > 20_000 and isinstance(event, interface.Met | interface.Came):
+        if len(self.inbox) > 20_000 and isinstance(event, interface.ServerReport | interface.RequestReport):
             self.counters["host.events_left_out"] += 1
             return
         self.inbox.append(event)
@@ -168,7 +168,7 @@
                 await self.news.wait()
         except TimeoutError:
             pass
-        await asyncio.sleep(self.told.turn_every_us / 1e6)
+        await asyncio.sleep(self.told.turn_interval_us / 1e6)
 
     def decide(self) -> tuple[list[interface.Event], list[interface.Order]]:
         """What waits goes to the module; its orders."""
@@ -177,7 +177,7 @@
         events, self.inbox = self.inbox, []
         for token in [token for token, at in self.wakes.items() if at <= now]:
             del self.wakes[token]
-            events.append(interface.Woken(token))
+            events.append(interface.TimerFired(token))
         self.counters["host.turns"] += 1
         return events, self.controller.turn(now, events)
 
@@ -212,12 +212,12 @@
         """What is not for clients."""
         for order in orders:
             match order:
-                case interface.Log(text):
+                case interface.LogMessage(text):
                     self.log.say("mode", text=text)
-                case interface.Wake(token, at_us):
+                case interface.SetTimer(token, at_us):
                     self.wakes[token] = at_us
-                case interface.Mark(number):
-                    self.tell(interface.Answered(STORE, number, 0))
+                case interface.Barrier(number):
+                    self.tell(interface.BarrierAck(STORE, number, 0))
                 case interface.Probe(backend):
                     node = self.nodes.get(str(backend))
                     self.probes.start(backend, node.address if node is not None else None)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -22,59 +22,62 @@
     """A deployment of ordinary size; a test names what it needs otherwise."""
     told = dict(
         classes=(
-            interface.VisitClass("look", 1500 * MS, 5 * SECOND, 1.0, False, False),
-            interface.VisitClass("pay", 2 * SECOND, 4 * SECOND, 3.0, True, False),
+            interface.RequestClass("look", 1500 * MS, 5 * SECOND, 1.0, False, False),
+            interface.RequestClass("pay", 2 * SECOND, 4 * SECOND, 3.0, True, False),
         ),
         zones=("east", "west"),
         proxies=4,
         slices=12,
         lease_us=1200 * MS,
         linger_us=3 * SECOND,
-        bare_us=14 * SECOND,
+        unserved_limit_us=14 * SECOND,
         lines_per_s=9000.0,
-        head_lines=12.0,
-        queue_lines=14000.0,
-        messages_most=24,
-        messages_over_us=10 * SECOND,
-        report_every_us=SECOND,
-        usual_retry=1,
-        asks_for_list=False,
-        may_probe=True,
-        gone_binds=True,
-        admits="share",
+        message_overhead_lines=12.0,
+        queue_limit_lines=14000.0,
+        max_messages=24,
+        message_window_us=10 * SECOND,
+        report_interval_us=SECOND,
+        default_retry=1,
+        subscribes_to_registry=False,
+        probes_allowed=True,
+        must_leave_gone=True,
+        admission_mode="share",
         cold_us=12 * SECOND,
         cold_share=0.2,
-        fall_multiple=2.5,
+        cold_overload_factor=2.5,
         load_fields=(),
     )
     return interface.Deployment(**{**told, **changes})
 
 
 def server(
-    name: int | str, state: str = "ready", zone: str = "east", born_us: int | None = None
-) -> interface.Entry:
+    name: int | str, state: str = "ready", zone: str = "east", started_us: int | None = None
+) -> interface.RegistryEntry:
     """A server as the list has it."""
-    return interface.Entry(name, zone, state, 1.0, born_us)
+    return interface.RegistryEntry(name, zone, state, 1.0, started_us)
 
 
-def changed(*entries: interface.Entry) -> interface.Listed:
+def changed(*entries: interface.RegistryEntry) -> interface.RegistryUpdate:
     """The list's news of some servers."""
-    return interface.Listed("changes", entries)
+    return interface.RegistryUpdate("changes", entries)
 
 
 def standing(
-    entries: Sequence[interface.Entry], proxies: int, slices: int, first: bool = True
+    entries: Sequence[interface.RegistryEntry], proxies: int, slices: int, first: bool = True
 ) -> list[interface.Event]:
     """The news that put a controller in the middle of its work: servers probed, proxies in, slices dealt."""
     owners = [entry.backend for entry in entries]
     return [
-        interface.Listed("whole", tuple(entries)),
-        *(interface.Probed(owner, 0, MS, None) for owner in owners),
-        *(interface.Joined(number, first, "east", 1.0) for number in range(proxies)),
+        interface.RegistryUpdate("whole", tuple(entries)),
+        *(interface.ProbeResult(owner, 0, MS, None) for owner in owners),
+        *(interface.ProxyJoined(number, first, "east", 1.0) for number in range(proxies)),
         *(
             event
             for number in range(slices)
-            for event in (interface.Given(number, True), interface.Held(number, owners[number % len(owners)]))
+            for event in (
+                interface.SliceGrant(number, True),
+                interface.StoredOwner(number, owners[number % len(owners)]),
+            )
         ),
     ]
 
@@ -82,9 +85,9 @@
 def answers(orders: Sequence[interface.Order], proxies: int, took_us: int) -> list[interface.Event]:
     """What all proxies answer to the marks among a turn's orders."""
     return [
-        interface.Answered(number, order.number, took_us)
+        interface.BarrierAck(number, order.number, took_us)
         for order in orders
-        if isinstance(order, interface.Mark)
+        if isinstance(order, interface.Barrier)
         for number in range(proxies)
     ]
 
@@ -145,12 +148,12 @@
     def start(self) -> None:
         """The controller starts over, with the list and the store only."""
         self.controller = Controller(self.told, self.chance.randrange(1 << 32), self.now)
-        self.news = [interface.Listed("remembered", tuple(self.list.values()))]
+        self.news = [interface.RegistryUpdate("remembered", tuple(self.list.values()))]
         for number, table in self.store.items():
             table.writes = True
-            self.news.append(interface.Given(number, True))
+            self.news.append(interface.SliceGrant(number, True))
             if table.owner is not None:
-                self.news.append(interface.Held(number, table.owner))
+                self.news.append(interface.StoredOwner(number, table.owner))
         self.wake, self.sent = self.now, []
         self.bare_since.clear()
 
@@ -163,7 +166,7 @@
         proxy = self.proxies[number]
         first, proxy.joined, proxy.read = not proxy.tables, True, False
         proxy.reads_at = self.now + int(self.chance.uniform(0.05, 0.5) * SECOND)
-        self.news.append(interface.Joined(number, first, "east", 5.0, reads_store=True))
+        self.news.append(interface.ProxyJoined(number, first, "east", 5.0, reads_store=True))
 
     def leave(self, number: int) -> None:
         proxy = self.proxies[number]
@@ -171,7 +174,7 @@
             proxy.joined, proxy.coming = False, []
             if proxy.read:  # else its writes end by the lease of an earlier stream
                 proxy.broken_at = self.now
-            self.news.append(interface.Left(number))
+            self.news.append(interface.ProxyLeft(number))
 
     def rejoin_one_by_one(self, numbers: Iterable[int], away_s: float) -> None:
         for number in numbers:
@@ -180,21 +183,21 @@
             self.join(number)
 
     def change(self, backend: int, state: str, born: int | None = None) -> None:
-        old = self.list.get(backend, interface.Entry(backend, "east", state, 1.0, None))
-        self.list[backend] = old._replace(state=state, born_us=born or old.born_us)
+        old = self.list.get(backend, interface.RegistryEntry(backend, "east", state, 1.0, None))
+        self.list[backend] = old._replace(state=state, started_us=born or old.started_us)
         (self.up.discard if state == "gone" else self.up.add)(backend)
         if state == "gone":  # what a dead process held is over
             for writes in self.last_write.values():
                 writes.pop(backend, None)
         self.tell([self.list[backend]])
 
-    def tell(self, entries: list[interface.Entry]) -> None:
+    def tell(self, entries: list[interface.RegistryEntry]) -> None:
         """The list says something, true or not."""
         for entry in entries:
             self.list[entry.backend] = entry
             if entry.state == "ready":
                 self.unfit_since.pop(entry.backend, None)
-            elif entry.state == "draining" or self.told.gone_binds:
+            elif entry.state == "draining" or self.told.must_leave_gone:
                 self.unfit_since.setdefault(entry.backend, self.now)
         self.news.append(changed(*entries))
 
@@ -217,7 +220,7 @@
             self.report()
         if self.controller and (self.news or self.now >= self.wake):
             if self.now >= self.wake:
-                self.news.append(interface.Woken(0))
+                self.news.append(interface.TimerFired(0))
             news, self.news = self.news, []
             self.ordered(self.controller.turn(self.now, news))
         self.look()
@@ -226,40 +229,40 @@
         message = []
         for order in orders:
             match order:
-                case interface.Own(table, backend, _):
+                case interface.SetTableEntry(table, backend, _):
                     assert backend in self.list
                     held = self.store[table]
                     held.count += held.owner != backend
                     held.owner = backend
                     message.append((order, held.count))
-                case interface.Empty(table):
+                case interface.ClearTable(table):
                     held = self.store[table]
                     held.owner, held.writes, held.share = None, True, 1.0
                     message.append((order, 0))
-                case interface.Admit(table, classes, _, share):
+                case interface.SetAdmission(table, classes, _, share):
                     if classes >> 1 & 1:
                         self.store[table].writes = share > 0
                     if classes & 1:
                         self.store[table].share = share
                     message.append((order, 0))
-                case interface.Withdraw() | interface.Mark():
+                case interface.SetWithdrawn() | interface.Barrier():
                     message.append((order, 0))
-                case interface.Wake(_, at_us):
+                case interface.SetTimer(_, at_us):
                     self.wake = at_us
-                case interface.Log(text):
+                case interface.LogMessage(text):
                     self.logs.append(text)
                 case interface.Probe(backend):
                     fails = backend in self.mute or backend not in self.up
-                    self.news.append(interface.Probed(backend, 3 if fails else 0, 2000, None))
+                    self.news.append(interface.ProbeResult(backend, 3 if fails else 0, 2000, None))
         if message:
             joined = [proxy for proxy in self.proxies if proxy.joined]
             self.sent.append(self.now)
             self.queued -= min(self.queued, self.told.lines_per_s * (self.now - self.queued_at) / SECOND)
             self.queued_at = self.now
-            self.queued += len(joined) * (len(message) + self.told.head_lines)
-            assert self.queued <= self.told.queue_lines, "rule 5: too many lines wait"
-            recent = [at for at in self.sent if at > self.now - self.told.messages_over_us]
-            assert len(recent) <= self.told.messages_most, "rule 5: too many messages to a proxy"
+            self.queued += len(joined) * (len(message) + self.told.message_overhead_lines)
+            assert self.queued <= self.told.queue_limit_lines, "rule 5: too many lines wait"
+            recent = [at for at in self.sent if at > self.now - self.told.message_window_us]
+            assert len(recent) <= self.told.max_messages, "rule 5: too many messages to a proxy"
             for proxy in joined:
                 way = self.chance.uniform(0.05, 0.6) * SECOND
                 at = max([self.now + int(way)] + [at for at, _, _ in proxy.coming[-1:]])
@@ -267,28 +270,28 @@
 
     def apply(self, proxy: Proxy, number: int, order: interface.Order, count: int, issued: int) -> None:
         match order:
-            case interface.Own(table, backend, _):
+            case interface.SetTableEntry(table, backend, _):
                 if count >= proxy.tables[table].count:
                     proxy.tables[table].owner, proxy.tables[table].count = backend, count
-            case interface.Empty(table):
+            case interface.ClearTable(table):
                 proxy.tables[table].owner, proxy.tables[table].writes = None, True
-            case interface.Admit(table, classes, _, share) if classes >> 1 & 1:
+            case interface.SetAdmission(table, classes, _, share) if classes >> 1 & 1:
                 proxy.tables[table].writes = share > 0
-            case interface.Withdraw(backend, out):
+            case interface.SetWithdrawn(backend, out):
                 (proxy.out.add if out else proxy.out.discard)(backend)
-            case interface.Mark(mark, _):
-                self.news.append(interface.Answered(number, mark, self.now - issued))
+            case interface.Barrier(mark, _):
+                self.news.append(interface.BarrierAck(number, mark, self.now - issued))
 
     def report(self) -> None:
         for backend in self.up:
             if backend not in self.mute and any(t.owner == backend for t in self.store.values()):
                 lost = self.losing.get(backend, 0) * self.visits // 3
                 self.news.append(
-                    interface.Met(backend, "east", lost, 3 * self.visits, 200 * MS, SECOND, None)
+                    interface.ServerReport(backend, "east", lost, 3 * self.visits, 200 * MS, SECOND, None)
                 )
         for number in self.store:
             for kind in self.told.classes:
-                self.news.append(interface.Came(number, kind.name, self.visits, 0, SECOND))
+                self.news.append(interface.RequestReport(number, kind.name, self.visits, 0, SECOND))
 
     def look(self) -> None:
         """The rules, as plainly as they can be said."""
@@ -308,12 +311,14 @@
         ready = [
             e
             for e in self.list.values()
-            if e.state == "ready" and (not e.born_us or self.now - e.born_us > self.told.cold_us)
+            if e.state == "ready" and (not e.started_us or self.now - e.started_us > self.told.cold_us)
         ]
         for number, table in self.store.items():
             if table.owner is not None or not ready or self.controller is None:
                 self.bare_since.pop((STORE, number), None)
-            elif self.now - self.bare_since.setdefault((STORE, number), self.now) > self.told.bare_us:
+            elif (
+                self.now - self.bare_since.setdefault((STORE, number), self.now) > self.told.unserved_limit_us
+            ):
                 raise AssertionError(f"rule 1: slice {number} without an owner for too long")
         for place, proxy in enumerate(self.proxies):
             picks = proxy.joined and proxy.read and self.now >= proxy.stalled_until
@@ -321,7 +326,10 @@
             for number, table in proxy.tables.items():
                 if not counts or (table.owner is not None and table.owner not in proxy.out):
                     self.bare_since.pop((place, number), None)
-                elif self.now - self.bare_since.setdefault((place, number), self.now) > self.told.bare_us:
+                elif (
+                    self.now - self.bare_since.setdefault((place, number), self.now)
+                    > self.told.unserved_limit_us
+                ):
                     raise AssertionError(
                         f"rule 1: slice {number} without a line at proxy {place} for too long"
                     )
--- a/tests/full_look.py
+++ b/tests/full_look.py
@@ -13,7 +13,7 @@
     """Looks at every server and every slice in every turn, whether anything is due or not."""
 
     def turn(self, now: int, events: Sequence[interface.Event]) -> list[interface.Order]:
-        self.current.touched.update(self.backends)
+        self.current.updated_servers.update(self.backends)
         self.table.changed = True
         if isinstance(self.table, Ledger):
             holdings = self.table.holdings
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -53,7 +53,7 @@
     bind_us=60 * MS,
 )
 TOLD = deployment(
-    zones=("a", "b"), slices=12, proxies=4, lease_us=150 * MS, linger_us=60 * MS, messages_most=1000
+    zones=("a", "b"), slices=12, proxies=4, lease_us=150 * MS, linger_us=60 * MS, max_messages=1000
 )
 CODEC = Codec(TOLD, 256)
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "Ready", "size": 1.0}
@@ -243,11 +243,11 @@
     ("GRANT", "shard=4&set=1"),
 ]
 PICTURE = [
-    interface.Joined(0, True, "a", 1.0),
-    interface.Joined(1, False, "a", 1.0),
-    interface.Given(3, True),
-    interface.Held(3, "s-1"),
-    interface.Given(4, True),
+    interface.ProxyJoined(0, True, "a", 1.0),
+    interface.ProxyJoined(1, False, "a", 1.0),
+    interface.SliceGrant(3, True),
+    interface.StoredOwner(3, "s-1"),
+    interface.SliceGrant(4, True),
 ]
 
 
@@ -311,15 +311,15 @@
         yield registry, heard
 
 
-S1 = interface.Entry("s-1", "a", "ready", 1.0, None)
+S1 = interface.RegistryEntry("s-1", "a", "ready", 1.0, None)
 KNOWN = Listing(5, True, (S1,), {"s-1": "127.0.0.1:9"}, 0)
-LOST = interface.Listed("lost", ())
+LOST = interface.RegistryUpdate("lost", ())
 
 
 JOIN = b"SOURCE locality=a\r\n"
 LINE = b"LOAD locality=a endpoint=s-1 total=2 errors=1 rtt=41.7 interval=1000.0\r\n"
 SPOILT = b"LOAD total=x\r\nSHARD shard=3\r\nLOAD" + LINE[4:].replace(b"=a", b"=1e+30")
-MET = interface.Met("s-1", "a", 1, 2, 41700, 1_000_000, None)
+MET = interface.ServerReport("s-1", "a", 1, 2, 41700, 1_000_000, None)
 
 
 @asynccontextmanager
@@ -366,7 +366,7 @@
         relay=relay,
         seed=1,
         known=CODEC.listed(listing(1, *({**MEMBER, "id": f"s-{n}"} for n in (1, 2)))),
-        told=replace(TOLD, may_probe=False, asks_for_list=True),
+        told=replace(TOLD, probes_allowed=False, subscribes_to_registry=True),
         limits=QUICK,
     )
     return Launch(**{**values, **changes})
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -142,12 +142,12 @@
     proxies=1,
     lease_us=600 * MS,
     linger_us=300 * MS,
-    bare_us=8_000 * MS,
+    unserved_limit_us=8_000 * MS,
     lines_per_s=1e5,
-    head_lines=2.0,
-    queue_lines=1e5,
-    messages_most=1000,
-    asks_for_list=True,
+    message_overhead_lines=2.0,
+    queue_limit_lines=1e5,
+    max_messages=1000,
+    subscribes_to_registry=True,
     cold_us=2_000 * MS,
 )
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -75,7 +75,7 @@
 
 def test_load_reports_stand_in_the_order_of_the_deployment() -> None:
     met = report(f"{LOAD} metrics=inflight:7,util:0.61,queue:2,odd:x")[1]
-    assert isinstance(met, interface.Met) and met.load == (2.0, 0.61)
+    assert isinstance(met, interface.ServerReport) and met.load == (2.0, 0.61)
     assert CODEC.load("inflight=7,util=0.61", "=") == (None, 0.61)
     # On sockets they come by the names of the settings; only the page's were read, and nothing was known of
     # queues.
@@ -95,9 +95,9 @@
         )
     )
     assert told.entries == (
-        interface.Entry("s-1", "a", "ready", 1.0, None),
-        interface.Entry("s-2", "a", "draining", None, START_MS * MS),
-        interface.Entry("s-3", "a", "gone", 1.0, None),
+        interface.RegistryEntry("s-1", "a", "ready", 1.0, None),
+        interface.RegistryEntry("s-2", "a", "draining", None, START_MS * MS),
+        interface.RegistryEntry("s-3", "a", "gone", 1.0, None),
     )
     assert (told.version, told.whole, told.unreadable) == (43, False, 0)
     assert told.addresses["s-2"] == "127.0.0.1:3000"
@@ -212,7 +212,7 @@
                 events.append(report(spoilt(chance.choice(texts[:2])))[1])
             elif choice == 1:
                 told = CODEC.listing(spoilt(chance.choice(texts[2:])))
-                events.append(interface.Listed(("changes", "whole")[told.whole], told.entries))
+                events.append(interface.RegistryUpdate(("changes", "whole")[told.whole], told.entries))
             else:
                 kind, data = chance.choice(NEWS)
                 events.append(CODEC.news(kind, spoilt(data)))
@@ -221,7 +221,10 @@
         if chance.random() < 0.1:
             now += chance.randrange(SECOND)
             for order in controller.turn(now, [event for event in events if event]):
-                if not isinstance(order, interface.Probe | interface.Wake | interface.Follow | interface.Log):
+                if not isinstance(
+                    order,
+                    interface.Probe | interface.SetTimer | interface.WatchRegistry | interface.LogMessage,
+                ):
                     CODEC.written(order)
             events.clear()
     assert 500 < refused < 3500
@@ -230,15 +233,15 @@
 @pytest.mark.parametrize(
     ("order", "text"),
     [
-        (interface.Own(4, "s-1", 1.5), "SET,4,s-1,1.5"),
-        (interface.Empty(4), "DEL,4"),
-        (interface.Withdraw("s-1", True), "OUT,s-1"),
-        (interface.Withdraw("s-1", False), "IN,s-1"),
-        (interface.Admit(4, 2, 1, 0.9), "LIMIT,4,pay,0.9,1"),
-        (interface.Admit(None, 0, 0, 1.0), "LIMIT,*,*,1,0"),
-        (interface.Admit(4, 3, 1, 0.0), "LIMIT,4,look+pay,0,1"),
-        (interface.Mark(905, True), "SYNC,905,1"),
-        (interface.Mark(1, False), "SYNC,1,0"),
+        (interface.SetTableEntry(4, "s-1", 1.5), "SET,4,s-1,1.5"),
+        (interface.ClearTable(4), "DEL,4"),
+        (interface.SetWithdrawn("s-1", True), "OUT,s-1"),
+        (interface.SetWithdrawn("s-1", False), "IN,s-1"),
+        (interface.SetAdmission(4, 2, 1, 0.9), "LIMIT,4,pay,0.9,1"),
+        (interface.SetAdmission(None, 0, 0, 1.0), "LIMIT,*,*,1,0"),
+        (interface.SetAdmission(4, 3, 1, 0.0), "LIMIT,4,look+pay,0,1"),
+        (interface.Barrier(905, True), "SYNC,905,1"),
+        (interface.Barrier(1, False), "SYNC,1,0"),
     ],
 )
 def test_orders_are_written(order: interface.Order, text: str) -> None:
@@ -247,11 +250,11 @@
 
 def test_an_answer_to_a_mark_of_an_earlier_life_does_not_pass_for_one_of_this_life() -> None:
     before, now = Codec(TOLD, 256, 7), Codec(TOLD, 256, 40_000)
-    assert now.written(interface.Mark(65535, True)) == "SYNC,39999,1"
-    assert now.news("ACK", "node=1&nonce=39999&latency=1").mark == 65535
-    late = before.written(interface.Mark(3, True)).split(",")[1]
+    assert now.written(interface.Barrier(65535, True)) == "SYNC,39999,1"
+    assert now.news("ACK", "node=1&nonce=39999&latency=1").barrier == 65535
+    late = before.written(interface.Barrier(3, True)).split(",")[1]
     controller = Controller(deployment(slices=1, proxies=1), 1, 0)
-    controller.turn(0, [interface.Joined(0, True, "a", 1.0), interface.Given(0, True)])
+    controller.turn(0, [interface.ProxyJoined(0, True, "a", 1.0), interface.SliceGrant(0, True)])
     controller.turn(1, [now.news("ACK", f"node=0&nonce={late}&latency=1")])
     assert controller.channel.proxies.joined[0].answered < 0
 
@@ -305,7 +308,7 @@
                     *({**MEMBER, "id": f"s-{n}", "phase": states[n], "up_since_ms": born} for n in range(4))
                 )
             )
-            both(f"TOPOLOGY\t0\tincr\t1\t4{entries}", interface.Listed("changes", told_now.entries))
+            both(f"TOPOLOGY\t0\tincr\t1\t4{entries}", interface.RegistryUpdate("changes", told_now.entries))
         if number % 100 == 2:
             for node in range(2):
                 both(
@@ -324,7 +327,7 @@
                         f"LOAD locality=a endpoint=s-{n} total=9 errors={lost} rtt={took}.0 interval=1000"
                     )[1],
                 )
-                both(f"CHECK_RESULT\t0\t{n}\t0\t1\t-", interface.Probed(f"s-{n}", 0, 1, None))
+                both(f"CHECK_RESULT\t0\t{n}\t0\t1\t-", interface.ProbeResult(f"s-{n}", 0, 1, None))
             for n in range(6):
                 count = chance.randrange(30)
                 both(
@@ -332,7 +335,7 @@
                     report(f"SHARD shard={n} route=look total={count} errors=0 interval=1000")[1],
                 )
         for order in there.current.orders:
-            if isinstance(order, interface.Mark):
+            if isinstance(order, interface.Barrier):
                 nonce = codec.written(order).split(",")[1]
                 for node in range(2):
                     both(
@@ -345,18 +348,18 @@
         assert [
             order if not hasattr(order, "backend") else order._replace(backend=f"s-{order.backend}")
             for order in orders
-            if not isinstance(order, interface.Log)
-        ] == [order for order in mine if not isinstance(order, interface.Log)]
+            if not isinstance(order, interface.LogMessage)
+        ] == [order for order in mine if not isinstance(order, interface.LogMessage)]
         kinds |= {type(order) for order in mine}
     assert kinds >= {
-        interface.Own,
-        interface.Empty,
-        interface.Mark,
-        interface.Withdraw,
-        interface.Admit,
-        interface.Follow,
+        interface.SetTableEntry,
+        interface.ClearTable,
+        interface.Barrier,
+        interface.SetWithdrawn,
+        interface.SetAdmission,
+        interface.WatchRegistry,
         interface.Probe,
-        interface.Wake,
+        interface.SetTimer,
     }
 
 
@@ -444,7 +447,7 @@
 
     async def read() -> None:
         heard: list[interface.Event] = []
-        known = Listing(5, True, (interface.Entry("s-0", "east", "ready", 1.0, None),), {}, 0)
+        known = Listing(5, True, (interface.RegistryEntry("s-0", "east", "ready", 1.0, None),), {}, 0)
         registry = Registry(
             "127.0.0.1:1", known, heard.append, Codec(deployment(), 256), Limits(), Counters()
         )
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -17,11 +17,13 @@
 def test_generated_days_keep_the_rules(seed: int) -> None:
     chance = random.Random(seed)
     size = (
-        dict(proxies=30, slices=90, messages_most=1000, bare_us=24 * SECOND)
+        dict(proxies=30, slices=90, max_messages=1000, unserved_limit_us=24 * SECOND)
         if seed >= 12
-        else dict(messages_most=chance.choice((1000, 20, 30)))
+        else dict(max_messages=chance.choice((1000, 20, 30)))
+    )
+    fleet = Fleet(
+        deployment(**size, must_leave_gone=seed % 2 == 0), backends=18 if seed >= 12 else 6, seed=seed
     )
-    fleet = Fleet(deployment(**size, gone_binds=seed % 2 == 0), backends=18 if seed >= 12 else 6, seed=seed)
     for _ in range(14):
         backend = chance.choice([number for number in fleet.list if number < 900])
         match chance.randrange(9):
@@ -48,7 +50,7 @@
                 for number in chance.sample(range(4), 4):
                     fleet.join(number)
             case 5:
-                fleet.news.append(interface.Listed("lost", ()))
+                fleet.news.append(interface.RegistryUpdate("lost", ()))
             case 6:
                 fleet.mute ^= {backend}
             case 7:  # the list calls running servers gone, drained ones too
@@ -57,7 +59,7 @@
                 fleet.run(chance.uniform(1, 9))
                 fleet.tell(true)
             case 8:  # servers that do not exist are listed
-                ghosts = [interface.Entry(900 + n, "west", "ready", 2.0, None) for n in range(4)]
+                ghosts = [interface.RegistryEntry(900 + n, "west", "ready", 2.0, None) for n in range(4)]
                 fleet.tell(ghosts)
                 fleet.run(chance.uniform(1, 9))
                 fleet.tell([ghost._replace(state="gone") for ghost in ghosts])
@@ -76,7 +78,7 @@
 
 
 def test_servers_that_are_gone_for_good_are_forgotten() -> None:
-    fleet = Fleet(deployment(bare_us=4 * SECOND, gone_binds=True), backends=4, seed=1, ran_s=3)
+    fleet = Fleet(deployment(unserved_limit_us=4 * SECOND, must_leave_gone=True), backends=4, seed=1, ran_s=3)
     for round_ in range(60):  # each drains and goes, another one comes; some proxies come back meanwhile
         first = max(fleet.list) + 1
         for number in [n for n, e in fleet.list.items() if e.state == "ready"][:2]:
@@ -114,11 +116,15 @@
     controller = Controller(deployment(slices=0), 7, 0)
     entries = tuple(server(n) for n in (5, 6))
     orders = controller.turn(
-        SECOND, [interface.Listed("remembered", entries), interface.Joined(0, True, "east", 1.0)]
+        SECOND, [interface.RegistryUpdate("remembered", entries), interface.ProxyJoined(0, True, "east", 1.0)]
     )
-    assert {interface.Own(0, 5, 1.0), interface.Own(0, 6, 1.0), interface.Bind(0, 0, 3)} <= set(orders)
+    assert {
+        interface.SetTableEntry(0, 5, 1.0),
+        interface.SetTableEntry(0, 6, 1.0),
+        interface.BindProxy(0, 0, 3),
+    } <= set(orders)
     orders = controller.turn(3 * SECOND, [changed(entries[0]._replace(state="draining"))])
-    assert interface.Own(0, 5, 0.0) in orders
+    assert interface.SetTableEntry(0, 5, 0.0) in orders
 
 
 @pytest.mark.parametrize("usual", [0, 1, 2, 3])
@@ -126,12 +132,12 @@
 def test_no_order_has_a_class_tried_again_that_may_not_simply_be_repeated(usual: int, admits: str) -> None:
     """With a short window, a further try of a keyed class after any failure would come after its window."""
     classes = (
-        interface.VisitClass("look", SECOND, 3 * SECOND, 1.0, False, False),
-        interface.VisitClass("hold", SECOND, 3 * SECOND, 2.0, True, False, False),
-        interface.VisitClass("print", SECOND, 3 * SECOND, 1.0, False, False, False),
+        interface.RequestClass("look", SECOND, 3 * SECOND, 1.0, False, False),
+        interface.RequestClass("hold", SECOND, 3 * SECOND, 2.0, True, False, False),
+        interface.RequestClass("print", SECOND, 3 * SECOND, 1.0, False, False, False),
     )
     for slices in (12, 0):
-        told = deployment(classes=classes, usual_retry=usual, admits=admits, slices=slices)
+        told = deployment(classes=classes, default_retry=usual, admission_mode=admits, slices=slices)
         ordered: list[interface.Order] = []
         entries = [server(100 + n) for n in range(3)]
         for life in range(2):  # a restart says it again
@@ -140,41 +146,44 @@
             first = [
                 order
                 for order in orders
-                if not isinstance(order, interface.Log | interface.Probe | interface.Follow | interface.Wake)
+                if not isinstance(
+                    order,
+                    interface.LogMessage | interface.Probe | interface.WatchRegistry | interface.SetTimer,
+                )
             ]
             if usual > 1:
-                assert first[0] == interface.Admit(None, 0b110, 1, 1.0 if admits == "share" else 1e6)
+                assert first[0] == interface.SetAdmission(None, 0b110, 1, 1.0 if admits == "share" else 1e6)
             for step in range(600):
                 now += 50 * MS
-                events = answers(orders, 4, MS) + [interface.Woken(0)]
+                events = answers(orders, 4, MS) + [interface.TimerFired(0)]
                 if step == 100:
                     events.append(changed(entries[0]._replace(state="draining")))
                 if step % 20 == 0:
                     events += [
-                        interface.Met(101, "east", 6, 9, 3 * SECOND, SECOND, None),
+                        interface.ServerReport(101, "east", 6, 9, 3 * SECOND, SECOND, None),
                         *(
-                            interface.Came(n, kind.name, 9, 0, SECOND)
+                            interface.RequestReport(n, kind.name, 9, 0, SECOND)
                             for n in range(slices)
                             for kind in classes
                         ),
                     ]
                 orders = controller.turn(now, events)
                 ordered += orders
-        admitted = [order for order in ordered if isinstance(order, interface.Admit)]
-        assert all(order.retry <= 1 for order in admitted if order.classes & 0b110)
-        assert all(order.retry == usual for order in admitted if order.classes == 0b001)
+        admitted = [order for order in ordered if isinstance(order, interface.SetAdmission)]
+        assert all(order.retry <= 1 for order in admitted if order.class_mask & 0b110)
+        assert all(order.retry == usual for order in admitted if order.class_mask == 0b001)
         if slices and admits == "share":
-            assert any(order.classes == 0b001 for order in admitted) and any(
-                order.classes & 0b110 for order in admitted
+            assert any(order.class_mask == 0b001 for order in admitted) and any(
+                order.class_mask & 0b110 for order in admitted
             )
 
 
 def test_the_list_is_asked_for_again_after_it_was_lost() -> None:
-    controller = Controller(deployment(asks_for_list=True), 7, 0)
+    controller = Controller(deployment(subscribes_to_registry=True), 7, 0)
     follows = []
     for now in range(0, 5 * SECOND, 100 * MS):
-        orders = controller.turn(now, [interface.Listed("lost", ())] if now == 100 * MS else [])
-        follows += [now for order in orders if isinstance(order, interface.Follow)]
+        orders = controller.turn(now, [interface.RegistryUpdate("lost", ())] if now == 100 * MS else [])
+        follows += [now for order in orders if isinstance(order, interface.WatchRegistry)]
     assert len(follows) == 2 and follows[0] == 0 and follows[1] >= 600 * MS
 
 
@@ -192,19 +201,19 @@
 
     def waits(seed: int) -> list[int]:
         now, found = 100 * SECOND, []
-        controller = Controller(deployment(asks_for_list=True), seed, now)
-        assert interface.Follow() in controller.turn(now, [])
+        controller = Controller(deployment(subscribes_to_registry=True), seed, now)
+        assert interface.WatchRegistry() in controller.turn(now, [])
         for _ in range(12):
-            orders, lost = controller.turn(now, [interface.Listed("lost", ())]), now
-            while interface.Follow() not in orders:
+            orders, lost = controller.turn(now, [interface.RegistryUpdate("lost", ())]), now
+            while interface.WatchRegistry() not in orders:
                 orders = controller.turn(now := now + 50 * MS, [])
             found.append(now - lost)
         controller.turn(now, [changed()])
-        controller.turn(now, [interface.Listed("lost", ())])
+        controller.turn(now, [interface.RegistryUpdate("lost", ())])
         controller.turn(
-            now + 400 * MS, [interface.Listed("lost", ())]
+            now + 400 * MS, [interface.RegistryUpdate("lost", ())]
         )  # one told twice is asked for no later
-        assert interface.Follow() in controller.turn(now + 1550 * MS, [])
+        assert interface.WatchRegistry() in controller.turn(now + 1550 * MS, [])
         return found
 
     several = [waits(seed) for seed in range(20)]
@@ -220,7 +229,7 @@
     for seed in range(30):
         now = 100 * SECOND
         controller = Controller(deployment(), seed, now)
-        orders = controller.turn(now, [interface.Listed("remembered", servers)])
+        orders = controller.turn(now, [interface.RegistryUpdate("remembered", servers)])
         while interface.Probe(0) not in orders:
             orders = controller.turn(now := now + 50 * MS, [])
         at.append(now - 100 * SECOND)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -66,7 +66,7 @@
     + b":\r\n"
     + event("GRANT", "shard=4&set=0")
 )
-HEARD = [*PICTURE, interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
+HEARD = [*PICTURE, interface.BarrierAck(1, 9, 2500), interface.ProxyLeft(1), interface.SliceGrant(4, False)]
 
 
 async def news_heard(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -38,12 +38,12 @@
     text = "SYNC\t7\t1\n" + "\n".join(lines) + "\nEOF_BATCH\n\nSYNC\t8\t2\nEOF_BATCH"
     batch, empty = read_batches(io.StringIO(text))
     assert [event for _, event in batch.news] == [
-        interface.Met(6, "z", 1, 14, 4, 5, (0.5, None)),
-        interface.Met(6, "z", 1, 14, 4, 5, None),
-        interface.Listed("changes", (interface.Entry(9, "z", "draining", None, None),)),
-        interface.Came(117, "pay", 23, 2, 10),
-        interface.Answered(41, 12, 5),
-        interface.Joined(41, True, "z", 6.5, reads_store=True),
+        interface.ServerReport(6, "z", 1, 14, 4, 5, (0.5, None)),
+        interface.ServerReport(6, "z", 1, 14, 4, 5, None),
+        interface.RegistryUpdate("changes", (interface.RegistryEntry(9, "z", "draining", None, None),)),
+        interface.RequestReport(117, "pay", 23, 2, 10),
+        interface.BarrierAck(41, 12, 5),
+        interface.ProxyJoined(41, True, "z", 6.5, reads_store=True),
     ]
     assert batch.now == 7 and empty.news == [] and empty.round_number == 2
 
@@ -51,16 +51,16 @@
 @pytest.mark.parametrize(
     ("order", "line"),
     [
-        (interface.Own(117, 9, 0.75), "UPSERT\t3\t117\t0.75\t9\n"),
-        (interface.Empty(117), "DROP_LINES\t3\t117\n"),
-        (interface.Withdraw(9, True), "BENCH\t3\t1\t9\n"),
-        (interface.Admit(None, 2, 1, 0.5), "VALVE\t3\t65535\t2\t1\t0.5\n"),
-        (interface.Mark(12, False), "CHECKPOINT\t3\t0\t12\n"),
-        (interface.Bind(4, 1, 0), "PIN\t3\t4\t1\t0\n"),
+        (interface.SetTableEntry(117, 9, 0.75), "UPSERT\t3\t117\t0.75\t9\n"),
+        (interface.ClearTable(117), "DROP_LINES\t3\t117\n"),
+        (interface.SetWithdrawn(9, True), "BENCH\t3\t1\t9\n"),
+        (interface.SetAdmission(None, 2, 1, 0.5), "VALVE\t3\t65535\t2\t1\t0.5\n"),
+        (interface.Barrier(12, False), "CHECKPOINT\t3\t0\t12\n"),
+        (interface.BindProxy(4, 1, 0), "PIN\t3\t4\t1\t0\n"),
         (interface.Probe(9), "INSPECT\t3\t9\n"),
-        (interface.Wake(0, 99), "NOTIFY_ME\t3\t0\t99\n"),
-        (interface.Follow(), "TAIL\t3\t1\n"),
-        (interface.Log("a b"), "RECORD\t3\ta b\n"),
+        (interface.SetTimer(0, 99), "NOTIFY_ME\t3\t0\t99\n"),
+        (interface.WatchRegistry(), "TAIL\t3\t1\n"),
+        (interface.LogMessage("a b"), "RECORD\t3\ta b\n"),
     ],
 )
 def test_orders_are_written(order: interface.Order, line: str) -> None:
--- a/tests/test_due_look.py
+++ b/tests/test_due_look.py
@@ -41,10 +41,10 @@
                 return []
             orders = super().turn(now, events)
             self.sleeps_until = min(
-                (order.at_us for order in orders if isinstance(order, interface.Wake)),
+                (order.at_us for order in orders if isinstance(order, interface.SetTimer)),
                 default=self.sleeps_until,
             )
-            if kept := [order for order in orders if not isinstance(order, interface.Wake)]:
+            if kept := [order for order in orders if not isinstance(order, interface.SetTimer)]:
                 self.kept.append((now, kept))
             return orders
 
@@ -81,10 +81,10 @@
     return replace(
         deployment(size),
         lines_per_s=900.0,
-        queue_lines=1800.0,
-        messages_most=24,
+        queue_limit_lines=1800.0,
+        max_messages=24,
         load_fields=("busy", "waiting"),
-        gone_binds=False,
+        must_leave_gone=False,
         lease_us=1200 * MS,
     )
 
@@ -105,7 +105,7 @@
 )
 def test_draws(seed: int, faults: list[days.Fault], servers: int, slices_each: int, report_s: int) -> None:
     size = Size(2, 5, servers, slices_each)
-    told = replace(deployment(size), report_every_us=report_s * SECOND)
+    told = replace(deployment(size), report_interval_us=report_s * SECOND)
     both(lambda kind: days.play(seed, size, start=kind, faults=faults, settings=told, seconds=22))
 
 
@@ -117,11 +117,16 @@
         self.controller = kind(told, seed, self.now)
         self.later: list[tuple[int, interface.Event]] = []
         self.servers = [f"s{number}" for number in range(16)]
-        listed = tuple(interface.Entry(name, self.zone(name), "ready", 1.0, None) for name in self.servers)
-        self.news: list[interface.Event] = [interface.Listed("remembered", listed)]
-        self.news += [interface.Joined(number, True, "east", 1.0) for number in range(told.proxies)]
+        listed = tuple(
+            interface.RegistryEntry(name, self.zone(name), "ready", 1.0, None) for name in self.servers
+        )
+        self.news: list[interface.Event] = [interface.RegistryUpdate("remembered", listed)]
+        self.news += [interface.ProxyJoined(number, True, "east", 1.0) for number in range(told.proxies)]
         for number in range(told.slices):
-            self.news += [interface.Given(number, True), interface.Held(number, self.servers[number % 9])]
+            self.news += [
+                interface.SliceGrant(number, True),
+                interface.StoredOwner(number, self.servers[number % 9]),
+            ]
         self.owners = {number: self.servers[number % 9] for number in range(told.slices)}
 
     def zone(self, name: str) -> str:
@@ -139,17 +144,17 @@
 
     def follow(self, order: interface.Order) -> None:
         match order:
-            case interface.Mark(mark):
+            case interface.Barrier(mark):
                 for number in range(self.told.proxies):
                     took = self.chance.randrange(20, 400) * MS
-                    self.later.append((self.now + took, interface.Answered(number, mark, took)))
+                    self.later.append((self.now + took, interface.BarrierAck(number, mark, took)))
             case interface.Probe(name):
                 reason = self.chance.choice([0, 0, 0, 0, 3])
-                self.later.append((self.now + 20 * MS, interface.Probed(name, reason, MS, None)))
-            case interface.Own(slice_, name):
+                self.later.append((self.now + 20 * MS, interface.ProbeResult(name, reason, MS, None)))
+            case interface.SetTableEntry(slice_, name):
                 self.owners[slice_] = str(name)
-            case interface.Follow():
-                self.later.append((self.now + 100 * MS, interface.Listed("changes", ())))
+            case interface.WatchRegistry():
+                self.later.append((self.now + 100 * MS, interface.RegistryUpdate("changes", ())))
 
     def draw(self) -> None:
         """Reports of some owners, late or not; now and then a change of the list or of a stream."""
@@ -158,29 +163,33 @@
             visits, name = chance.choice([0, 3, 30, 90]), self.owners[slice_]
             lost, took = chance.randrange(visits + 1) // 4, chance.choice([100, 900, 2500]) * MS
             load = tuple(chance.choice([None, 0.2, 0.95, 4.0]) for _ in self.told.load_fields)
-            self.news.append(interface.Met(name, "east", lost, visits, took, SECOND, load))
-            self.news.append(interface.Came(slice_, chance.choice(["look", "pay"]), visits, 0, SECOND))
+            self.news.append(interface.ServerReport(name, "east", lost, visits, took, SECOND, load))
+            self.news.append(
+                interface.RequestReport(slice_, chance.choice(["look", "pay"]), visits, 0, SECOND)
+            )
         if chance.random() < 0.02:
             name, state = chance.choice(self.servers), chance.choice(["ready", "draining", "gone"])
             born = self.now if state == "ready" and chance.random() < 0.6 else None
-            entry = interface.Entry(name, self.zone(name), state, chance.choice([1.0, 2.0]), born)
-            self.news.append(interface.Listed("changes", (entry,)))
+            entry = interface.RegistryEntry(name, self.zone(name), state, chance.choice([1.0, 2.0]), born)
+            self.news.append(interface.RegistryUpdate("changes", (entry,)))
         if chance.random() < 0.02:
             number = chance.randrange(self.told.proxies)
-            self.news += [interface.Left(number), interface.Joined(number, False, "east", 1.0)]
+            self.news += [interface.ProxyLeft(number), interface.ProxyJoined(number, False, "east", 1.0)]
         if chance.random() < 0.01:
-            self.news.append(interface.Holding(chance.choice(self.servers), chance.choice([0.0, 40.0])))
+            self.news.append(
+                interface.HeldConnectionLoad(chance.choice(self.servers), chance.choice([0.0, 40.0]))
+            )
         if chance.random() < 0.01:
-            self.news.append(interface.Listed("lost", ()))
+            self.news.append(interface.RegistryUpdate("lost", ()))
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_overload_relief_and_queues(seed: int) -> None:
     size = Size(1, 6, 16, 1)
     fields = (("busy", "waiting"), ("busy",), ())[seed % 3]
-    told = replace(deployment(size), slices=24, load_fields=fields, gone_binds=seed % 2 == 0)
+    told = replace(deployment(size), slices=24, load_fields=fields, must_leave_gone=seed % 2 == 0)
     if seed % 4 == 3:
-        told = replace(told, slices=40, messages_most=30, lines_per_s=1500.0, queue_lines=3000.0)
+        told = replace(told, slices=40, max_messages=30, lines_per_s=1500.0, queue_limit_lines=3000.0)
     both(lambda kind: Script(kind, seed, told).run(40))
 
 
@@ -191,12 +200,12 @@
     class Bound(Script):
         def draw(self) -> None:
             for name in self.chance.sample(self.servers, 2):
-                self.news.append(interface.Met(name, "east", 1, 30, 100 * MS, SECOND, None))
+                self.news.append(interface.ServerReport(name, "east", 1, 30, 100 * MS, SECOND, None))
             if self.chance.random() < 0.05:
                 self.told = told
                 name, state = self.chance.choice(self.servers), self.chance.choice(["ready", "draining"])
-                entry = interface.Entry(name, self.zone(name), state, 1.0, self.now)
-                self.news.append(interface.Listed("changes", (entry,)))
+                entry = interface.RegistryEntry(name, self.zone(name), state, 1.0, self.now)
+                self.news.append(interface.RegistryUpdate("changes", (entry,)))
 
     both(lambda kind: Bound(kind, seed, told).run(30))
 
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -11,7 +11,7 @@
 
 from lapispass import interface
 from lapispass.cli.main import app
-from lapispass.core.messages import Offer
+from lapispass.core.messages import SendBudget
 from lapispass.core.shut_out import ShutOut
 from lapispass.lab import fleet as days
 from lapispass.policy.channel import Channel
@@ -92,7 +92,7 @@
 
 
 def narrow(size: Size, pace: float = 1000.0) -> interface.Deployment:
-    return replace(deployment(size), lines_per_s=pace, queue_lines=1600.0)
+    return replace(deployment(size), lines_per_s=pace, queue_limit_lines=1600.0)
 
 
 @pytest.mark.parametrize(
@@ -125,7 +125,7 @@
     """As on the full fleet: answers were not looked at, and the model emptied a channel that stood."""
     offer = Channel.offer
 
-    def blind(channel: Channel) -> Offer | None:
+    def blind(channel: Channel) -> SendBudget | None:
         channel.left = channel.lines
         channel.turns.clear()
         return offer(channel)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -76,11 +76,11 @@
         fleet.join(number)
     while None in fleet.owners():
         fleet.run(0.05)
-    assert fleet.now - given_at < fleet.told.bare_us // 4 + SECOND
+    assert fleet.now - given_at < fleet.told.unserved_limit_us // 4 + SECOND
 
 
 def test_where_levels_have_no_effect_the_new_owner_waits_for_the_last_write() -> None:
-    fleet = Fleet(deployment(admits="none"), 4, seed=10, ran_s=3)
+    fleet = Fleet(deployment(admission_mode="none"), 4, seed=10, ran_s=3)
     fleet.change(102, "draining")
     fleet.run(12)  # the model holds the single owner
     assert None not in fleet.owners() and all(table.writes for table in fleet.store.values())
@@ -91,7 +91,7 @@
     # The list is late: the process is up again and takes writes.
     fleet.news.append(changed(fleet.list[102]._replace(state="gone")))
     fleet.run(3.2)
-    fleet.news.append(changed(fleet.list[102]._replace(born_us=fleet.now - 5 * SECOND)))
+    fleet.news.append(changed(fleet.list[102]._replace(started_us=fleet.now - 5 * SECOND)))
     fleet.run(12)  # the model holds the single owner
     assert all(table.writes for table in fleet.store.values())
 
@@ -129,7 +129,7 @@
     fleet.change(owner, "draining")
     while moved.owner in (owner, None):
         fleet.run(0.05)
-    assert fleet.now - shut_out_at < fleet.told.bare_us // 2 + SECOND
+    assert fleet.now - shut_out_at < fleet.told.unserved_limit_us // 2 + SECOND
 
 
 def test_an_empty_step_that_follows_a_last_step_stands_long_enough_to_be_answered() -> None:
@@ -151,7 +151,7 @@
 
 def test_handovers_go_on_while_proxies_join_all_the_time() -> None:
     # Guards against a step that waits for an instant in which no newcomer has still to answer (issue 48).
-    fleet = Fleet(deployment(proxies=12, messages_most=1000), 6, seed=9, ran_s=3)
+    fleet = Fleet(deployment(proxies=12, max_messages=1000), 6, seed=9, ran_s=3)
     for turn in range(300):
         number = turn % 12
         fleet.run(0.1)
@@ -177,7 +177,7 @@
 
 
 def test_a_drained_server_that_the_list_wrongly_calls_gone_has_not_ended() -> None:
-    fleet = Fleet(deployment(gone_binds=False), 4, seed=15, ran_s=3)
+    fleet = Fleet(deployment(must_leave_gone=False), 4, seed=15, ran_s=3)
     fleet.change(102, "draining")
     fleet.run(0.3)
     fleet.news.append(changed(fleet.list[102]._replace(state="gone")))
@@ -186,7 +186,7 @@
 
 
 def test_an_owner_that_a_fresh_controllers_list_leaves_out_keeps_its_slices_while_it_answers() -> None:
-    fleet = Fleet(deployment(gone_binds=False), 4, seed=19, ran_s=2)
+    fleet = Fleet(deployment(must_leave_gone=False), 4, seed=19, ran_s=2)
     true = fleet.list.pop(101)
     fleet.crash()
     fleet.run(4)
@@ -199,9 +199,11 @@
 
 
 def test_small_slices_of_the_owner_longest_shut_out_open_before_larger_ones() -> None:
-    fleet = Fleet(deployment(proxies=40, slices=96, queue_lines=2000.0, messages_most=1000), 12, seed=20)
+    fleet = Fleet(deployment(proxies=40, slices=96, queue_limit_lines=2000.0, max_messages=1000), 12, seed=20)
     for _ in range(4):
-        fleet.news += [interface.Came(number, "look", 40, 0, SECOND) for number in fleet.store if number % 12]
+        fleet.news += [
+            interface.RequestReport(number, "look", 40, 0, SECOND) for number in fleet.store if number % 12
+        ]
         fleet.run(1)
     for backend in range(100, 109):  # the slices of 100 are the small ones
         fleet.change(backend, "draining")
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -16,7 +16,7 @@
     assert 101 not in fleet.owners() and any("silent" in line for line in fleet.logs)
     fleet.mute.clear()
     for _ in range(8):
-        fleet.news.append(interface.Met(103, "east", 30, 50, 1900 * MS, SECOND, None))
+        fleet.news.append(interface.ServerReport(103, "east", 30, 50, 1900 * MS, SECOND, None))
         fleet.run(1)
     assert not any("failing" in line for line in fleet.logs)
 
@@ -71,7 +71,7 @@
     fleet = Fleet(deployment(slices=24), backends=12, seed=1, ran_s=4)
     fleet.losing.update({n: 9 for n in (101, 103, 105, 107)})
     fleet.run(3)
-    fleet.news += [interface.Probed(n, 3, 1000, None) for n in (101, 103)]
+    fleet.news += [interface.ProbeResult(n, 3, 1000, None) for n in (101, 103)]
     fleet.losing.clear()
     fleet.run(5)
     assert sum("failing->well" in line for line in fleet.logs) == 4
@@ -87,8 +87,8 @@
 
 
 def test_a_listed_server_that_answers_nothing_gets_no_slices() -> None:
-    fleet = Fleet(deployment(gone_binds=False), 4, seed=14)
-    fleet.tell([interface.Entry(900, "east", "ready", 4.0, None)])
+    fleet = Fleet(deployment(must_leave_gone=False), 4, seed=14)
+    fleet.tell([interface.RegistryEntry(900, "east", "ready", 4.0, None)])
     fleet.run(3)
     fleet.change(102, "draining")
     fleet.run(10)
@@ -96,7 +96,7 @@
 
 
 def test_a_list_that_calls_running_servers_gone_moves_nothing() -> None:
-    fleet = Fleet(deployment(gone_binds=False), 4, seed=13, ran_s=4)
+    fleet = Fleet(deployment(must_leave_gone=False), 4, seed=13, ran_s=4)
     wrong = [entry._replace(state="gone") for entry in list(fleet.list.values())[:3]]
     fleet.tell(wrong)
     fleet.run(8)
@@ -117,12 +117,12 @@
         turn(
             now + step * MS,
             [
-                interface.Met(100, "east", 0, 5, 200 * MS, SECOND, None),
-                interface.Answered(step, 1, 90 * MS),
-                interface.Came(3, "look", 5, 0, SECOND),
+                interface.ServerReport(100, "east", 0, 5, 200 * MS, SECOND, None),
+                interface.BarrierAck(step, 1, 90 * MS),
+                interface.RequestReport(3, "look", 5, 0, SECOND),
             ],
         )
     assert len(looks) <= 60  # one look at each
     looks.clear()
     orders = turn(now + 41 * MS, [changed(server(107, "draining", "west"))])
-    assert interface.Withdraw(107, True) in orders
+    assert interface.SetWithdrawn(107, True) in orders
--- a/tests/test_interval_figures.py
+++ b/tests/test_interval_figures.py
@@ -10,44 +10,44 @@
 
 from lapispass import interface
 from lapispass.core.interval_figures import Figures, IntervalFigures
-from lapispass.core.units import SECOND
+from lapispass.core.units import SECOND_US
 
 
 def test_a_slice_counts_as_without_owner_until_one_is_ordered_or_told() -> None:
     figures = IntervalFigures(100_000)
     for slice_ in (1, 2, 3, 4):
-        figures.event(0, interface.Given(slice_, True))
-    figures.event(0, interface.Held(1, "s"))
-    figures.event(0, interface.Held(2, "s"))
-    figures.event(0, interface.Given(4, False))
-    figures.order(SECOND, interface.Empty(1))
-    figures.order(2 * SECOND, interface.Empty(1))  # said again: empty since the first
-    figures.order(7 * SECOND, interface.Own(1, "t", 1.0))
-    figures.order(7 * SECOND, interface.Own(2, "t", 1.0))  # it had an owner
-    assert figures.take(8 * SECOND) == Figures(
+        figures.event(0, interface.SliceGrant(slice_, True))
+    figures.event(0, interface.StoredOwner(1, "s"))
+    figures.event(0, interface.StoredOwner(2, "s"))
+    figures.event(0, interface.SliceGrant(4, False))
+    figures.order(SECOND_US, interface.ClearTable(1))
+    figures.order(2 * SECOND_US, interface.ClearTable(1))  # said again: empty since the first
+    figures.order(7 * SECOND_US, interface.SetTableEntry(1, "t", 1.0))
+    figures.order(7 * SECOND_US, interface.SetTableEntry(2, "t", 1.0))  # it had an owner
+    assert figures.take(8 * SECOND_US) == Figures(
         handovers=1,
         without_owner=1,
-        longest_without_owner_us=8 * SECOND,
+        longest_without_owner_us=8 * SECOND_US,
         without_line=1,
-        longest_without_line_us=8 * SECOND,
+        longest_without_line_us=8 * SECOND_US,
         given=4,
         taken=1,
     )
-    figures.order(9 * SECOND, interface.Own(3, "t", 1.0))
-    taken = figures.take(10 * SECOND)
-    assert (taken.handovers, taken.without_owner, taken.longest_without_owner_us) == (1, 0, 9 * SECOND)
-    assert figures.take(11 * SECOND).shown() == {}
+    figures.order(9 * SECOND_US, interface.SetTableEntry(3, "t", 1.0))
+    taken = figures.take(10 * SECOND_US)
+    assert (taken.handovers, taken.without_owner, taken.longest_without_owner_us) == (1, 0, 9 * SECOND_US)
+    assert figures.take(11 * SECOND_US).shown() == {}
 
 
 def test_figures_name_the_slowest_server_answer_turn_call_and_mark() -> None:
     figures = IntervalFigures(100_000)
     for backend, lost, took_us in (("a", 0, 40_000), ("b", 5, 70_000), ("c", 10, 900_000)):
-        figures.event(0, interface.Met(backend, "z", lost, 10, took_us, SECOND, None))
-    figures.event(0, interface.Answered(1, 7, 310_000))
+        figures.event(0, interface.ServerReport(backend, "z", lost, 10, took_us, SECOND_US, None))
+    figures.event(0, interface.BarrierAck(1, 7, 310_000))
     assert [figures.answered(took_us) for took_us in (100_000, 100_001, 3)] == [False, True, False]
     figures.turn_took(12)
     figures.call_took(13)
-    assert figures.take(SECOND) == Figures(
+    assert figures.take(SECOND_US) == Figures(
         answers=3,
         late_answers=1,
         slowest_answer_us=100_001,
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -218,47 +218,55 @@
 
 
 def test_the_module_weighs_held_connections_beside_visits() -> None:
-    told = deployment(proxies=1, slices=4, may_probe=False, gone_binds=True, lease_us=0)
+    told = deployment(proxies=1, slices=4, probes_allowed=False, must_leave_gone=True, lease_us=0)
     made = Controller(told, 1, NOW)
     entries = tuple(server(name) for name in ("a", "b", "c"))
     events: list[interface.Event] = [
-        interface.Listed("whole", entries),
-        interface.Joined(0, True, "east", 1.0),
+        interface.RegistryUpdate("whole", entries),
+        interface.ProxyJoined(0, True, "east", 1.0),
     ]
-    events += [interface.Given(number, True) for number in range(4)]
-    events += [interface.Held(number, "c") for number in range(4)]
+    events += [interface.SliceGrant(number, True) for number in range(4)]
+    events += [interface.StoredOwner(number, "c") for number in range(4)]
     made.turn(NOW, events)
-    made.turn(NOW + 1, [interface.Holding("a", 50.0)])
+    made.turn(NOW + 1, [interface.HeldConnectionLoad("a", 50.0)])
     owners = set()
     listed = (server("c", "draining"),)
     now = NOW + 2
-    answers: list[interface.Event] = [interface.Listed("changes", listed)]
+    answers: list[interface.Event] = [interface.RegistryUpdate("changes", listed)]
     for _ in range(400):
         now += SECOND // 20
         orders = made.turn(now, answers)
         answers = [
-            interface.Answered(0, order.number, 1000) for order in orders if isinstance(order, interface.Mark)
+            interface.BarrierAck(0, order.number, 1000)
+            for order in orders
+            if isinstance(order, interface.Barrier)
         ]
-        owners |= {order.backend for order in orders if isinstance(order, interface.Own)}
+        owners |= {order.backend for order in orders if isinstance(order, interface.SetTableEntry)}
     assert owners == {"b"}
 
 
 def test_the_picture_follows_events_and_orders_and_tells_a_turn_whole() -> None:
     kinds = (
-        interface.VisitClass("look", 1, 1, 1.0, False, False),
-        interface.VisitClass("pay", 1, 1, 1.0, True, False),
+        interface.RequestClass("look", 1, 1, 1.0, False, False),
+        interface.RequestClass("pay", 1, 1, 1.0, True, False),
     )
     picture = Picture(4, kinds, True)
     changes, mark = picture.turn(
-        [interface.Given(1, True), interface.Held(1, "a")], [], {"a": Address("x:1", "")}
+        [interface.SliceGrant(1, True), interface.StoredOwner(1, "a")], [], {"a": Address("x:1", "")}
     )
     assert changes == [SetNode("a", Address("x:1", "")), SetLine(1, "a")] and mark is None
-    changes, mark = picture.turn([], [interface.Empty(1), interface.Mark(9, True)], {"a": Address("x:1", "")})
+    changes, mark = picture.turn(
+        [], [interface.ClearTable(1), interface.Barrier(9, True)], {"a": Address("x:1", "")}
+    )
     assert changes == [SetLine(1, None)] and mark == 9
     changes, _ = picture.turn(
-        [], [interface.Own(1, "b", 1.0), interface.Admit(1, 2, 1, 0.0)], {"a": Address("x:1", "")}
+        [],
+        [interface.SetTableEntry(1, "b", 1.0), interface.SetAdmission(1, 2, 1, 0.0)],
+        {"a": Address("x:1", "")},
     )
     assert changes == [SetLine(1, "b"), SetShare(1, 0.5, True)]
-    changes, _ = picture.turn([], [interface.Admit(None, 3, 1, 1.0), interface.Withdraw("b", True)], {})
+    changes, _ = picture.turn(
+        [], [interface.SetAdmission(None, 3, 1, 1.0), interface.SetWithdrawn("b", True)], {}
+    )
     assert SetShare(1, 1.0, False) in changes and SetOut("b", True) in changes
-    assert picture.turn([interface.Given(1, True), interface.Held(1, "b")], [], {})[0] == []
+    assert picture.turn([interface.SliceGrant(1, True), interface.StoredOwner(1, "b")], [], {})[0] == []
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -32,8 +32,8 @@
     )
     # Where the settings say that changes come unasked, nobody ever told it the list: on sockets one must ask.
     assert (
-        launch.told == replace(settings.read(SETTINGS), asks_for_list=True)
-        and launch.told.turn_every_us == 7000
+        launch.told == replace(settings.read(SETTINGS), subscribes_to_registry=True)
+        and launch.told.turn_interval_us == 7000
     )
     assert launch.known.entries[0].backend == "s-1" and launch.limits.connections == 512
     assert Limits.within(256).connections == 128 and Limits.within(8192).connections == 512
@@ -119,7 +119,7 @@
     def repeats(effect: str | None, writes: bool) -> bool:
         grade = {**SETTINGS["grades"][0], **({"effect": effect} if effect else {})}
         told = settings.read({"grades": [grade], "extra": {"class-writes": [writes]}})
-        return told.classes[0].repeats
+        return told.classes[0].repeatable
 
     assert repeats("free", False) and repeats(None, False) and not repeats(None, True)
     assert not any(repeats(effect, False) for effect in ("guarded", "single_shot", "of a later version"))
@@ -142,9 +142,9 @@
     second.turn(
         SECOND,
         [
-            interface.Listed("whole", (interface.Entry("s-1", "", "ready", 1.0, None),)),
-            interface.Joined(0, True, "", 1.0),
-            interface.Given(1, True),
+            interface.RegistryUpdate("whole", (interface.RegistryEntry("s-1", "", "ready", 1.0, None),)),
+            interface.ProxyJoined(0, True, "", 1.0),
+            interface.SliceGrant(1, True),
         ],
     )
     assert {name: repr(value) for name, value in vars(first.rules).items()} == before
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -44,8 +44,8 @@
     writer.write(answered(state, 200, b""))
 
 
-async def probe(address: str) -> list[interface.Probed]:
-    heard: list[interface.Probed] = []
+async def probe(address: str) -> list[interface.ProbeResult]:
+    heard: list[interface.ProbeResult] = []
     probes = Probes(heard.append, CODEC, QUICK, Counters())
     probes.start("s-1", address)
     await until(lambda: not probes.under_way)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -27,7 +27,7 @@
     shares = []
     for _ in range(14):
         if queued:  # what is completed there takes nearly all of the agreed time
-            fleet.news += [interface.Met(101, "east", 0, 200, 1700 * MS, SECOND, None)]
+            fleet.news += [interface.ServerReport(101, "east", 0, 200, 1700 * MS, SECOND, None)]
         fleet.run(0.25)
         shares.append({table.owner: table.share for table in fleet.store.values()}[101])
     assert max(shares[:7]) < 0.1, "what it did before its start tells nothing"
@@ -37,12 +37,14 @@
 def test_what_a_server_does_for_other_controllers_counts_as_its_load() -> None:
     fleet = Fleet(deployment(slices=24, load_fields=("busy",)), 4, seed=17)
     for number in range(12, 24):  # these are another controller's
-        fleet.news.append(interface.Given(number, False))
+        fleet.news.append(interface.SliceGrant(number, False))
         del fleet.store[number]
     for _ in range(6):
         for backend in (100, 101, 102, 103):
             fleet.news.append(
-                interface.Met(backend, "east", 0, 6, 200 * MS, SECOND, (0.2 if backend == 103 else 0.8,))
+                interface.ServerReport(
+                    backend, "east", 0, 6, 200 * MS, SECOND, (0.2 if backend == 103 else 0.8,)
+                )
             )
         fleet.run(1)
     fleet.change(102, "draining")
@@ -55,7 +57,7 @@
     now = 100 * SECOND
     controller = Controller(deployment(), 1, now)
     controller.turn(now, standing([server(n) for n in range(3)], 4, 6))
-    controller.turn(now, [changed(server(9, born_us=now)), interface.Probed(9, 0, MS, None)])
+    controller.turn(now, [changed(server(9, started_us=now)), interface.ProbeResult(9, 0, MS, None)])
     slice_, loads = controller.table.holdings.slices[0], []
     for age in (1, 4):
         controller.turn(now + age * SECOND, [])
@@ -67,7 +69,7 @@
 
 def test_cold_owners_get_their_shares_with_their_slices_however_many_move() -> None:
     fleet = Fleet(
-        deployment(proxies=40, slices=90, queue_lines=9000.0, messages_most=1000),
+        deployment(proxies=40, slices=90, queue_limit_lines=9000.0, max_messages=1000),
         12,
         seed=18,
         visits=20,
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -34,7 +34,7 @@
             return "reset"
         writer.write(answered(state, behaviour, b"inflight=7,queue=2,util=0.61"))
 
-    heard: list[interface.Probed] = []
+    heard: list[interface.ProbeResult] = []
     codec = Codec(deployment(load_fields=("waiting", "busy")), 256)
     async with Party(serve) as server:
         address = {"refused": "127.0.0.1:1", "no address": "nowhere"}.get(str(behaviour), server.address)
@@ -54,7 +54,7 @@
         await request(reader, state)
         writer.write(answered(state, 200, b""))
 
-    heard: list[interface.Probed] = []
+    heard: list[interface.ProbeResult] = []
     async with Party(silent) as mute, Party(well) as good:
         counters = Counters()
         probes = Probes(heard.append, CODEC, replace(QUICK, probes=3, probe_us=40 * MS), counters)
@@ -100,11 +100,11 @@
         answer.set()
         await until(lambda: not probes.under_way)
         assert (
-            not any(isinstance(event, interface.Probed) for event in heard)
+            not any(isinstance(event, interface.ProbeResult) for event in heard)
             and probes.counters["probes.outdated"] == 1
         )
         probes.start("s-1", server.address)
-        await until(lambda: any(isinstance(event, interface.Probed) for event in heard))
+        await until(lambda: any(isinstance(event, interface.ProbeResult) for event in heard))
 
 
 async def test_a_probe_whose_dial_takes_too_long_found_silence_and_no_refusal(
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -6,9 +6,9 @@
 
 from lapispass import interface
 from lapispass.core.proxies import READ_US, Proxies
-from lapispass.core.units import NEVER, SECOND
+from lapispass.core.units import NEVER, SECOND_US
 
-LEASE = 2 * SECOND
+LEASE = 2 * SECOND_US
 MARK = 5
 
 
@@ -16,13 +16,13 @@
     """Two proxies that have joined and answered marks before `MARK`, which was written at 0."""
 
     def __init__(self) -> None:
-        self.proxies = Proxies(range(3), -60 * SECOND, 30 * SECOND, LEASE)
+        self.proxies = Proxies(range(3), -60 * SECOND_US, 30 * SECOND_US, LEASE)
         for number in (0, 1):
-            self.join(-10 * SECOND, number)
-            self.answer(-9 * SECOND, number, MARK - 1)
+            self.join(-10 * SECOND_US, number)
+            self.answer(-9 * SECOND_US, number, MARK - 1)
 
     def join(self, now: int, number: int, first: bool = False, reads_store: bool = True) -> None:
-        self.proxies.join(interface.Joined(number, first, "east", None, reads_store), 0.0, now)
+        self.proxies.join(interface.ProxyJoined(number, first, "east", None, reads_store), 0.0, now)
 
     def answer(self, now: int, number: int, mark: int = MARK) -> None:
         self.proxies.answer(self.proxies.joined[number], mark, mark, now)
@@ -35,38 +35,38 @@
 
 def test_a_proxy_that_has_answered_is_not_waited_for_on_its_next_stream() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.answer(SECOND, 1)
-    known.proxies.leave(0, 1 * SECOND)
-    known.join(1 * SECOND, 0)
-    assert known.waits_for(1 * SECOND) == []
+    known.answer(SECOND_US, 0)
+    known.answer(SECOND_US, 1)
+    known.proxies.leave(0, 1 * SECOND_US)
+    known.join(1 * SECOND_US, 0)
+    assert known.waits_for(1 * SECOND_US) == []
 
 
 def test_one_whose_stream_ended_before_its_answer_is_waited_for_until_its_lease_is_out() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.proxies.leave(1, 1 * SECOND)
-    assert known.waits_for(1 * SECOND + LEASE - 1) == [1]
-    assert known.waits_for(1 * SECOND + LEASE) == []
+    known.answer(SECOND_US, 0)
+    known.proxies.leave(1, 1 * SECOND_US)
+    assert known.waits_for(1 * SECOND_US + LEASE - 1) == [1]
+    assert known.waits_for(1 * SECOND_US + LEASE) == []
 
 
 @pytest.mark.parametrize("first", [False, True])
 def test_one_that_joins_soon_after_the_first_answer_has_to_answer(first: bool) -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.proxies.leave(1, 1 * SECOND)
-    known.join(SECOND + LEASE - 1, 1, first)
-    assert known.waits_for(60 * SECOND) == [1]
-    known.answer(60 * SECOND, 1)
-    assert known.waits_for(60 * SECOND) == []
+    known.answer(SECOND_US, 0)
+    known.proxies.leave(1, 1 * SECOND_US)
+    known.join(SECOND_US + LEASE - 1, 1, first)
+    assert known.waits_for(60 * SECOND_US) == [1]
+    known.answer(60 * SECOND_US, 1)
+    assert known.waits_for(60 * SECOND_US) == []
 
 
 def test_nobody_waits_for_proxies_that_join_without_end() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.answer(SECOND, 1)
+    known.answer(SECOND_US, 0)
+    known.answer(SECOND_US, 1)
     for turn in range(40):  # none of them answers
-        at = SECOND + LEASE + turn * SECOND // 10
+        at = SECOND_US + LEASE + turn * SECOND_US // 10
         known.proxies.leave(turn % 4, at)
         known.join(at, turn % 4, first=turn % 4 > 1)
         assert known.waits_for(at) == []
@@ -74,61 +74,61 @@
 
 def test_one_that_joins_later_is_waited_for_until_it_has_read_the_step_from_the_store() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.answer(SECOND, 1)
-    known.join(8 * SECOND, 7)
-    assert known.waits_for(8 * SECOND + READ_US - 1) == [7]
-    assert known.waits_for(8 * SECOND + READ_US) == []
-    known.proxies.leave(7, 8 * SECOND + READ_US)  # with what it has read
-    assert known.waits_for(8 * SECOND + READ_US) == []
+    known.answer(SECOND_US, 0)
+    known.answer(SECOND_US, 1)
+    known.join(8 * SECOND_US, 7)
+    assert known.waits_for(8 * SECOND_US + READ_US - 1) == [7]
+    assert known.waits_for(8 * SECOND_US + READ_US) == []
+    known.proxies.leave(7, 8 * SECOND_US + READ_US)  # with what it has read
+    assert known.waits_for(8 * SECOND_US + READ_US) == []
 
 
 def test_one_that_leaves_before_it_has_read_the_store_is_waited_for_again() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.answer(SECOND, 1)
-    known.join(8 * SECOND, 7)
-    known.proxies.leave(7, 8 * SECOND + READ_US - 1)
-    assert known.waits_for(8 * SECOND + READ_US + LEASE - 2) == [7]
-    assert known.waits_for(8 * SECOND + READ_US + LEASE - 1) == []
+    known.answer(SECOND_US, 0)
+    known.answer(SECOND_US, 1)
+    known.join(8 * SECOND_US, 7)
+    known.proxies.leave(7, 8 * SECOND_US + READ_US - 1)
+    assert known.waits_for(8 * SECOND_US + READ_US + LEASE - 2) == [7]
+    assert known.waits_for(8 * SECOND_US + READ_US + LEASE - 1) == []
 
 
 def test_one_that_joins_later_and_was_gone_for_less_than_a_lease_may_write_by_what_it_held() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.proxies.leave(1, 3 * SECOND)
-    known.join(3 * SECOND + LEASE // 2, 1)
-    assert known.waits_for(3 * SECOND + LEASE - 1) == [1]
-    assert known.waits_for(3 * SECOND + LEASE) == []
-    known.proxies.leave(1, 6 * SECOND)  # it read the step, or it could not write
-    assert known.waits_for(6 * SECOND) == []
+    known.answer(SECOND_US, 0)
+    known.proxies.leave(1, 3 * SECOND_US)
+    known.join(3 * SECOND_US + LEASE // 2, 1)
+    assert known.waits_for(3 * SECOND_US + LEASE - 1) == [1]
+    assert known.waits_for(3 * SECOND_US + LEASE) == []
+    known.proxies.leave(1, 6 * SECOND_US)  # it read the step, or it could not write
+    assert known.waits_for(6 * SECOND_US) == []
 
 
 def test_one_that_has_just_been_started_holds_nothing_to_write_by() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.proxies.leave(1, 3 * SECOND)
-    known.join(3 * SECOND + 1, 1, first=True)
-    assert known.waits_for(3 * SECOND + 1) == []
+    known.answer(SECOND_US, 0)
+    known.proxies.leave(1, 3 * SECOND_US)
+    known.join(3 * SECOND_US + 1, 1, first=True)
+    assert known.waits_for(3 * SECOND_US + 1) == []
 
 
 def test_a_stream_that_may_have_stood_all_the_time_has_to_answer() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.answer(SECOND, 1)
-    known.proxies.leave(1, 9 * SECOND)
-    known.join(9 * SECOND, 1, reads_store=False)
-    assert known.waits_for(60 * SECOND) == [1]
-    known.proxies.leave(1, 60 * SECOND)
-    assert known.waits_for(60 * SECOND) == [1]
+    known.answer(SECOND_US, 0)
+    known.answer(SECOND_US, 1)
+    known.proxies.leave(1, 9 * SECOND_US)
+    known.join(9 * SECOND_US, 1, reads_store=False)
+    assert known.waits_for(60 * SECOND_US) == [1]
+    known.proxies.leave(1, 60 * SECOND_US)
+    assert known.waits_for(60 * SECOND_US) == [1]
 
 
 def test_a_join_that_was_told_without_the_end_of_the_stream_before_counts_from_now() -> None:
     known = Known()
-    known.answer(SECOND, 0)
-    known.join(9 * SECOND, 1)
-    assert known.waits_for(9 * SECOND) == [1]
-    assert known.waits_for(9 * SECOND + LEASE) == []
+    known.answer(SECOND_US, 0)
+    known.join(9 * SECOND_US, 1)
+    assert known.waits_for(9 * SECOND_US) == [1]
+    assert known.waits_for(9 * SECOND_US + LEASE) == []
 
 
 def test_without_proxies_every_mark_is_clear() -> None:
@@ -141,5 +141,5 @@
 def test_answers_are_remembered_for_a_lease_only() -> None:
     known = Known()
     for mark in range(MARK, 2000):
-        known.answer(mark * SECOND, 0, mark)
-    assert len(known.proxies._first_answers) <= LEASE // SECOND
+        known.answer(mark * SECOND_US, 0, mark)
+    assert len(known.proxies._first_answers) <= LEASE // SECOND_US
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -39,9 +39,9 @@
     async with Book(spoken) as book, following(book) as (registry, heard):
         await until(lambda: len(heard) == 3)
         assert heard == [
-            interface.Listed("remembered", ()),
-            interface.Listed("whole", (S1,)),
-            interface.Listed("changes", (S1._replace(state="draining"),)),
+            interface.RegistryUpdate("remembered", ()),
+            interface.RegistryUpdate("whole", (S1,)),
+            interface.RegistryUpdate("changes", (S1._replace(state="draining"),)),
         ]
         assert book.targets == ["/registry/instances", "/registry/instances?watch=1&from=9"]
         assert registry.addresses == {"s-1": "127.0.0.1:1"}
@@ -53,8 +53,8 @@
     async with Book(pieces) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: len(heard) == 2)
         assert heard == [
-            interface.Listed("remembered", (S1,)),
-            interface.Listed("changes", (S1._replace(backend="s-2"), S1._replace(state="gone"))),
+            interface.RegistryUpdate("remembered", (S1,)),
+            interface.RegistryUpdate("changes", (S1._replace(backend="s-2"), S1._replace(state="gone"))),
         ]
         assert book.targets == ["/registry/instances?watch=1&from=5"]
 
@@ -91,7 +91,7 @@
         await until(lambda: LOST in heard)
         registry.follow()
         await until(lambda: len(book.targets) == 3)
-        assert heard[1:] == [LOST, interface.Listed("whole", (S1,))]
+        assert heard[1:] == [LOST, interface.RegistryUpdate("whole", (S1,))]
         assert book.targets[2].endswith("from=9")
 
 
@@ -109,7 +109,7 @@
     whole = json.dumps(listing(7, {**MEMBER, "id": "s-2"}, {"id": "s-1"}))
     async with Book([whole.encode() + b"\n", 3600.0]) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: len(heard) == 2)
-        assert heard[1] == interface.Listed("changes", (S1._replace(backend="s-2"),))
+        assert heard[1] == interface.RegistryUpdate("changes", (S1._replace(backend="s-2"),))
 
 
 async def test_a_move_while_the_old_place_is_being_dialed_is_followed(
@@ -125,7 +125,7 @@
             registry.move(new.address)
             await until(lambda: len(heard) == 2)
             held.gates[old.address].set()
-            assert heard[1] == interface.Listed("changes", (S1._replace(backend="s-2"),))
+            assert heard[1] == interface.RegistryUpdate("changes", (S1._replace(backend="s-2"),))
             await asyncio.sleep(0.05)
             assert not old.targets and len(new.targets) == 1 and registry.counters["registry.lost"] == 0
 
@@ -136,7 +136,7 @@
         await until(lambda: old.writers)
         registry.move(new.address)
         await until(lambda: len(new.targets) == 2 and len(heard) == 2)
-        assert heard[1] == interface.Listed("whole", (S1,)) and new.targets[1].endswith("from=9")
+        assert heard[1] == interface.RegistryUpdate("whole", (S1,)) and new.targets[1].endswith("from=9")
 
 
 class Later(Book):
