--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -28,10 +28,10 @@
 from lapispass.net.relay import News
 
 ORDERS = [
-    interface.Empty(1),
-    interface.Own(2, "s-1", 1.0),
-    interface.Admit(2, 2, 1, 0.0),
-    interface.Mark(7, True),
+    interface.ClearTable(1),
+    interface.SetTableEntry(2, "s-1", 1.0),
+    interface.SetAdmission(2, 2, 1, 0.0),
+    interface.Barrier(7, True),
 ]
 TEXTS = ["DEL,1", "SET,2,s-1,1", "LIMIT,2,pay,0,1", "SYNC,7,1"]
 
@@ -46,9 +46,9 @@
 async def test_a_turn_is_settled_before_the_next_whatever_happens_to_its_call(fault: str, times: int) -> None:
     async with Relay() as relay, calls_to(relay) as calls:
         relay.faults += ["", fault, fault, ""] if fault == "throttled" else ["", fault]
-        await calls.carry_out([interface.Mark(6, True)])
+        await calls.carry_out([interface.Barrier(6, True)])
         await calls.carry_out(ORDERS)  # over the connection that was kept
-        await calls.carry_out([interface.Mark(8, True)])
+        await calls.carry_out([interface.Barrier(8, True)])
         assert relay.done == ["SYNC,6,1", *TEXTS * times, "SYNC,8,1"]
 
 
@@ -62,14 +62,17 @@
 async def test_an_order_that_the_relay_finds_invalid_is_found_by_halves() -> None:
     async with Relay() as relay, calls_to(relay) as calls:
         relay.faults.append("picky")
-        await calls.carry_out([*ORDERS[:2], interface.Withdraw("bad", True), *ORDERS[2:]])
+        await calls.carry_out([*ORDERS[:2], interface.SetWithdrawn("bad", True), *ORDERS[2:]])
         assert relay.done == TEXTS and calls.counters["relay.orders_left_out"] == 1
 
 
 async def test_a_long_turn_is_split_with_its_mark_behind_all_it_covers() -> None:
     async with Relay() as relay, calls_to(relay) as calls:
         await calls.carry_out(
-            [*(interface.Own(n % 12, f"s-{n:0200d}", 1.0) for n in range(900)), interface.Mark(7, True)]
+            [
+                *(interface.SetTableEntry(n % 12, f"s-{n:0200d}", 1.0) for n in range(900)),
+                interface.Barrier(7, True),
+            ]
         )
         assert len(relay.calls) > 2 and relay.done[-1] == "SYNC,7,1" and len(relay.done) == 901
         assert all(len(";".join(orders)) <= 60_000 for orders in relay.calls)
@@ -82,7 +85,7 @@
         relay.faults += ["reset before"] * 10_000  # it stays away until the news has come
         task = asyncio.create_task(calls.carry_out(ORDERS))
         await until(lambda: len(relay.calls) >= 1)
-        news.pass_on(interface.Given(2, True))  # decided before this was known
+        news.pass_on(interface.SliceGrant(2, True))  # decided before this was known
         begun = len(relay.calls)
         await until(lambda: len(relay.calls) >= begun + 2)  # the last of them began after the news
         relay.faults.clear()
@@ -100,7 +103,11 @@
         ):
             relay.say(kind, data)
         await until(lambda: len(heard) == 3)
-        assert heard == [interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
+        assert heard == [
+            interface.BarrierAck(1, 9, 2500),
+            interface.ProxyLeft(1),
+            interface.SliceGrant(4, False),
+        ]
         assert relay.written_after == b""
 
 
@@ -116,7 +123,7 @@
             )
         )
         rounds = 0
-        while interface.Given(4, False) not in heard:
+        while interface.SliceGrant(4, False) not in heard:
             await asyncio.sleep(0)  # a turn would be taken in each
             rounds += bool(heard)
         assert rounds < 50 and len(heard) == 501
@@ -129,27 +136,27 @@
         await until(lambda: len(heard) >= 5)
         # Both count as having left: one that came back in the gap must answer anew.
         assert heard == [
-            interface.Left(0),
-            interface.Left(1),
-            interface.Given(4, False),
+            interface.ProxyLeft(0),
+            interface.ProxyLeft(1),
+            interface.SliceGrant(4, False),
             PICTURE[0],
-            interface.Given(5, True),
+            interface.SliceGrant(5, True),
         ]
 
 
 async def test_a_slice_whose_owner_changed_in_the_gap_was_given_anew() -> None:
     async with Relay() as relay, news_of(relay) as (news, heard):
-        await news.calls.carry_out([interface.Own(4, "s-2", 1.0)])
+        await news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0)])
         relay.stands[3:] = [
             ("ROW", "shard=3&endpoint=s-9&w=1"),
             STANDS[4],
             ("ROW", "shard=4&endpoint=s-2&w=1"),
         ]
         relay.reset()
-        await until(lambda: interface.Held(3, "s-9") in heard)
+        await until(lambda: interface.StoredOwner(3, "s-9") in heard)
         assert (
-            heard[-2:] == [interface.Given(3, True), interface.Held(3, "s-9")]
-            and interface.Given(4, True) not in heard
+            heard[-2:] == [interface.SliceGrant(3, True), interface.StoredOwner(3, "s-9")]
+            and interface.SliceGrant(4, True) not in heard
         )
 
 
@@ -160,7 +167,7 @@
         news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults.append("held")
         under_way = asyncio.create_task(
-            news.calls.carry_out([interface.Own(4, "s-2", 1.0), interface.Mark(1, True)])
+            news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
         )
         await until(lambda: relay.calls)
         relay.streams[0][1].transport.abort()
@@ -171,7 +178,7 @@
         relay.held.set()
         await under_way
         await until(lambda: len(heard) >= 4)
-        assert heard == [interface.Left(0), interface.Left(1), *PICTURE[:2]], (
+        assert heard == [interface.ProxyLeft(0), interface.ProxyLeft(1), *PICTURE[:2]], (
             "the slices go on where they were"
         )
 
@@ -183,8 +190,8 @@
         relay.signs = False
         relay.reset()
         await until(lambda: len(relay.streams) == 2 and news.picture)
-        await news.calls.carry_out([*ORDERS, interface.Own(3, "s-2", 1.0)])
-        assert interface.Held(3, "s-9") in heard and relay.done == TEXTS
+        await news.calls.carry_out([*ORDERS, interface.SetTableEntry(3, "s-2", 1.0)])
+        assert interface.StoredOwner(3, "s-9") in heard and relay.done == TEXTS
 
 
 @pytest.mark.parametrize("doubt", ["left out", "given anew"])
@@ -193,7 +200,7 @@
         news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults += ["held"] if doubt == "given anew" else ["short 0"] * 2
         under_way = asyncio.create_task(
-            news.calls.carry_out([interface.Own(4, "s-2", 1.0), interface.Mark(1, True)])
+            news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
         )
         await until(lambda: relay.calls)
         if doubt == "given anew":
@@ -202,8 +209,8 @@
             relay.stands.append(("ROW", "shard=4&endpoint=s-2&w=1"))  # the call came after the giving
             relay.held.set()
         await under_way
-        await until(lambda: len(relay.streams) == 2 and interface.Given(4, True) in heard[1:])
-        assert heard.count(interface.Held(4, "s-2")) == (doubt == "given anew")
+        await until(lambda: len(relay.streams) == 2 and interface.SliceGrant(4, True) in heard[1:])
+        assert heard.count(interface.StoredOwner(4, "s-2")) == (doubt == "given anew")
 
 
 @pytest.mark.parametrize("fault", ["silent", "unreadable event", "unreadable chunk", "cut off", "too long"])
@@ -222,7 +229,7 @@
             await asyncio.sleep(0.02)
             relay.reset()
         await until(lambda: len(relay.streams) == 2 and len(heard) >= 4)
-        assert heard[:4] == [interface.Left(0), interface.Left(1), *PICTURE[:2]]
+        assert heard[:4] == [interface.ProxyLeft(0), interface.ProxyLeft(1), *PICTURE[:2]]
 
 
 async def test_a_picture_with_something_unreadable_is_asked_for_again_and_in_the_end_taken_as_it_is() -> None:
@@ -235,7 +242,7 @@
         assert not heard, "nothing is decided on half a picture"
         relay.stands.remove(odd)
         await until(lambda: len(heard) == 4)
-        assert heard == [interface.Left(0), interface.Left(1), *PICTURE[:2]]
+        assert heard == [interface.ProxyLeft(0), interface.ProxyLeft(1), *PICTURE[:2]]
         heard.clear()
         relay.stands.insert(1, odd)
         relay.reset()
@@ -315,10 +322,10 @@
     async with Twice() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
         calls.doubt = lambda: doubts.append(True)
-        await calls.carry_out([interface.Mark(1, True)])
-        await calls.carry_out([interface.Mark(2, True)])
+        await calls.carry_out([interface.Barrier(1, True)])
+        await calls.carry_out([interface.Barrier(2, True)])
         await asyncio.sleep(0.02)
-        await calls.carry_out([interface.Mark(3, True)])
+        await calls.carry_out([interface.Barrier(3, True)])
         assert doubts in ([], [True])
         if calls.counters["relay.answers_unasked"]:
             assert doubts and len(relay.writers) == 2, "what stands is compared, over a connection in step"
@@ -328,21 +335,21 @@
     async with Relay() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
         calls.doubt = lambda: doubts.append(True)
-        await calls.carry_out([interface.Mark(1, True)])
+        await calls.carry_out([interface.Barrier(1, True)])
         relay.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         await until(lambda: calls.link.unasked)
-        await calls.carry_out([interface.Mark(2, True)])
+        await calls.carry_out([interface.Barrier(2, True)])
         assert doubts == [True] and relay.done == ["SYNC,1,1", "SYNC,2,1"] and len(relay.writers) == 2
 
 
 async def test_a_connection_closed_as_idle_in_the_instant_of_its_use_costs_one_attempt() -> None:
     async with Relay() as relay, calls_to(relay) as calls:
-        await calls.carry_out([interface.Mark(1, True)])
+        await calls.carry_out([interface.Barrier(1, True)])
         link = calls.link
         link.writer.transport.pause_reading()  # its end is on the way and not seen
         relay.reset()
         link.writer.transport.resume_reading()
-        await calls.carry_out([interface.Mark(2, True)])
+        await calls.carry_out([interface.Barrier(2, True)])
         assert relay.done == ["SYNC,1,1", "SYNC,2,1"]
 
 
@@ -350,6 +357,6 @@
     limits = replace(QUICK, again_least_us=40 * MS, again_most_us=80 * MS)
     async with Relay() as relay, calls_to(relay, limits) as calls:
         relay.faults += [f"short {n % 2}" for n in range(10_000)]
-        async with running(calls.carry_out([interface.Mark(n, True) for n in range(4)])):
+        async with running(calls.carry_out([interface.Barrier(n, True) for n in range(4)])):
             await asyncio.sleep(0.4)
             assert 3 < len(relay.calls) < 25
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -13,7 +13,9 @@
 from lapispass.net.service import Service
 
 SLICES, PROXIES = 8, 4
-DEPLOYMENT = replace(TOLD, slices=SLICES, proxies=PROXIES, may_probe=False, asks_for_list=True, cold_us=1)
+DEPLOYMENT = replace(
+    TOLD, slices=SLICES, proxies=PROXIES, probes_allowed=False, subscribes_to_registry=True, cold_us=1
+)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -72,14 +72,14 @@
 
         def turn(now: int, events: list[interface.Event]) -> list[interface.Order]:
             seen.append((now, events))
-            return [interface.Wake(5, now)]
+            return [interface.SetTimer(5, now)]
 
         service.controller.turn = turn
         async with running(service.run()):
             await until(lambda: len(seen) > 20)
         gaps = [after[0] - before[0] for before, after in pairwise(seen)]
-        assert min(gaps) >= TOLD.turn_every_us and interface.Woken(5) not in seen[0][1]
-        assert all(interface.Woken(5) in events for _, events in seen[1:])
+        assert min(gaps) >= TOLD.turn_interval_us and interface.TimerFired(5) not in seen[0][1]
+        assert all(interface.TimerFired(5) in events for _, events in seen[1:])
 
 
 async def test_a_turn_is_late_when_the_process_stood_still_and_not_when_a_call_took_long() -> None:
@@ -103,16 +103,16 @@
 
 async def test_a_full_inbox_leaves_out_sums_and_nothing_else() -> None:
     service = Service(launch("127.0.0.1:1", "127.0.0.1:1", limits=replace(QUICK, events=3)))
-    for event in (MET, MET, MET, MET, interface.Left(1)):
+    for event in (MET, MET, MET, MET, interface.ProxyLeft(1)):
         service.tell(event)
     assert (
-        service.inbox[1:] == [MET, MET, interface.Left(1)]
+        service.inbox[1:] == [MET, MET, interface.ProxyLeft(1)]
         and service.counters["service.events_left_out"] == 2
     )
-    service.tell(interface.Left(2))
-    service.tell(interface.Left(3))
+    service.tell(interface.ProxyLeft(2))
+    service.tell(interface.ProxyLeft(3))
     with pytest.raises(Overfull):  # the news end, and the next ones begin with all that stands
-        service.news.pass_on(interface.Given(7, True))
+        service.news.pass_on(interface.SliceGrant(7, True))
     assert 7 not in service.calls.rows, "what was not taken in does not count as known"
     with pytest.raises(Overfull):
         service.registry.take(CODEC.listing(change(9, MEMBER)))
@@ -183,7 +183,7 @@
                 "silent relay": lambda: relay.calls,
                 "told": lambda: (
                     any(
-                        isinstance(event, interface.Listed) and event.kind == "changes"
+                        isinstance(event, interface.RegistryUpdate) and event.kind == "changes"
                         for event in service.inbox
                     )
                     or service.counters["registry.messages"]
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -55,9 +55,9 @@
         proxies=proxies,
         slices=slices,
         lines_per_s=slices * proxies / 6,
-        queue_lines=slices * proxies / 3,
-        messages_most=0,
-        asks_for_list=True,
+        queue_limit_lines=slices * proxies / 3,
+        max_messages=0,
+        subscribes_to_registry=True,
     )
     controller = kind(told, 1, now)
     entries = [server(f"s-{n}") for n in range(servers)]
@@ -121,7 +121,7 @@
         told += orders
         assert controller.channel.waiting <= 0.8 * 3 * MANY * 40 / 3
         controller.turn(now, answers(orders, 40, 50 * MS))
-    assert {order.backend for order in told if isinstance(order, interface.Withdraw)} == {
+    assert {order.backend for order in told if isinstance(order, interface.SetWithdrawn)} == {
         f"s-{n}" for n in range(0, MANY, 2)
     }
     owners = [slice_.owner for slice_ in controller.table.holdings.slices.values()]
@@ -183,7 +183,7 @@
     """Where nothing but sums came, nothing but their servers is touched."""
     controller, now = world(400, 1600, 2000, 400)
     controller.turn(now := now + 50 * MS, [])
-    sums = [interface.Met(f"s-{n}", "east", 0, 9, 200 * MS, SECOND, None) for n in range(3)]
+    sums = [interface.ServerReport(f"s-{n}", "east", 0, 9, 200 * MS, SECOND, None) for n in range(3)]
     best = float("inf")
     for _ in range(4):
         began = time.process_time()
@@ -199,13 +199,13 @@
     sizes: list[int] = []
     for round_ in range(300):
         names = [f"s-{30 + round_}", f"s-{round_}"]
-        controller.turn(now, [changed(server(names[0], born_us=now), server(names[1], "draining"))])
+        controller.turn(now, [changed(server(names[0], started_us=now), server(names[1], "draining"))])
         controller.turn(
             now,
             [
-                interface.Probed(names[0], 0, MS, None),
-                interface.Left(round_ % 20),
-                interface.Joined(round_ % 20, False, "east", 1.0),
+                interface.ProbeResult(names[0], 0, MS, None),
+                interface.ProxyLeft(round_ % 20),
+                interface.ProxyJoined(round_ % 20, False, "east", 1.0),
             ],
         )
         for step in range(40):
@@ -222,7 +222,7 @@
                     (
                         controller.backends,
                         controller.agenda,
-                        controller.current.touched,
+                        controller.current.updated_servers,
                         controller.current.awaiting_reports,
                         controller.fleet.paces,
                         table.shut_out.out,
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -94,7 +94,7 @@
     gone = {**member(7), "id": f"{7:0{name_bytes}d}" if name_bytes else "s-00000007", "phase": "Gone"}
     change = json.dumps(listing(6, gone, complete=False)).encode()
     async with ListServer(body, change) as server:
-        heard: list[interface.Listed] = []
+        heard: list[interface.RegistryUpdate] = []
         counters = Counters()
         registry = Registry(server.address, NOTHING, heard.append, CODEC, LIMITS, counters)
         async with running(registry.run()):
@@ -138,9 +138,11 @@
 
 
 async def test_a_list_beyond_the_bound_is_still_cut_and_never_passes_for_whole() -> None:
-    heard: list[interface.Listed] = []
+    heard: list[interface.RegistryUpdate] = []
     registry = Registry("", NOTHING, heard.append, CODEC, LIMITS, Counters())
-    entries = tuple(interface.Entry(f"s-{n}", "a", "ready", 1.0, None) for n in range(LIMITS.servers + 3))
+    entries = tuple(
+        interface.RegistryEntry(f"s-{n}", "a", "ready", 1.0, None) for n in range(LIMITS.servers + 3)
+    )
     registry.take(Listing(2, True, entries, {}, 0))
     assert heard[-1].kind == "changes" and len(heard[-1].entries) == LIMITS.servers
     assert registry.counters["registry.too_many"] == 3
@@ -149,7 +151,9 @@
 async def test_what_the_registry_client_keeps_is_bounded_over_a_long_churn() -> None:
     registry = Registry("", NOTHING, lambda event: None, CODEC, replace(LIMITS, servers=SERVERS), Counters())
     for round_ in range(5):
-        entries = tuple(interface.Entry(f"s-{round_}-{n}", "a", "ready", 1.0, None) for n in range(SERVERS))
+        entries = tuple(
+            interface.RegistryEntry(f"s-{round_}-{n}", "a", "ready", 1.0, None) for n in range(SERVERS)
+        )
         addresses = {entry.backend: "127.0.0.1:9" for entry in entries}
         registry.take(Listing(2 + round_, True, entries, addresses, 0))
         assert all(entry.backend in registry.addresses for entry in entries)
@@ -168,11 +172,11 @@
 def test_orders_for_every_slice_go_out_in_calls_of_bounded_size() -> None:
     codec = Codec(deployment(slices=SLICES), LIMITS.id_bytes)
     calls = Calls("127.0.0.1:1", codec, LIMITS, Counters())
-    orders: list[interface.Order] = [interface.Own(n, f"s-{n:08x}", 1.0) for n in range(SLICES)]
-    orders += [interface.Admit(n, 1, 0, 0.9) for n in range(SLICES)]
-    parts = list(calls.parts([*orders, interface.Mark(1, True)]))
+    orders: list[interface.Order] = [interface.SetTableEntry(n, f"s-{n:08x}", 1.0) for n in range(SLICES)]
+    orders += [interface.SetAdmission(n, 1, 0, 0.9) for n in range(SLICES)]
+    parts = list(calls.parts([*orders, interface.Barrier(1, True)]))
     written = [item.text for part in parts for item in part]
-    assert written == [codec.written(order) for order in [*orders, interface.Mark(1, True)]]
+    assert written == [codec.written(order) for order in [*orders, interface.Barrier(1, True)]]
     assert len(parts) > 1
     assert all(len(";".join(item.text for item in part)) <= LIMITS.call_bytes for part in parts)
 
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -28,10 +28,10 @@
             proxies=PROXIES,
             slices=2200,
             lines_per_s=2200 * PROXIES / 6,
-            queue_lines=2200 * PROXIES / 3,
-            messages_most=0,
+            queue_limit_lines=2200 * PROXIES / 3,
+            max_messages=0,
         )
-        self.entries = [interface.Entry(f"s-{n}", "east", "ready", 1.0, None) for n in range(servers)]
+        self.entries = [interface.RegistryEntry(f"s-{n}", "east", "ready", 1.0, None) for n in range(servers)]
         self.controller = Controller(told, 1, self.now)
         orders = self.controller.turn(self.now, standing(self.entries, PROXIES, HELD))
         for _ in range(100):
@@ -40,8 +40,8 @@
 
     def report(self) -> list[interface.Event]:
         """What one collector reports."""
-        met = [interface.Met(f"s-{n}", "east", 0, 9, 200 * MS, SECOND, None) for n in range(HELD)]
-        return [*met, *(interface.Came(n, "look", 9, 0, SECOND) for n in range(HELD))]
+        met = [interface.ServerReport(f"s-{n}", "east", 0, 9, 200 * MS, SECOND, None) for n in range(HELD)]
+        return [*met, *(interface.RequestReport(n, "look", 9, 0, SECOND) for n in range(HELD))]
 
     def second(self) -> float:
         """Processor time of a second (s)."""
@@ -62,7 +62,7 @@
     quiet, best = Quiet(TARGET), float("inf")
     for number in range(30):
         quiet.now += 60 * MS
-        news = [interface.Probed(f"s-{100 + number}", 0, MS, None)]
+        news = [interface.ProbeResult(f"s-{100 + number}", 0, MS, None)]
         began = time.process_time()
         quiet.controller.turn(quiet.now, news)
         best = min(best, time.process_time() - began)
@@ -73,8 +73,8 @@
     quiet = Quiet(TARGET)
     quiet.now += MS
     draining = quiet.entries[1]._replace(state="draining")
-    orders = quiet.controller.turn(quiet.now, [interface.Listed("changes", (draining,))])
-    assert interface.Withdraw("s-1", True) in orders and interface.Empty(1) in orders
+    orders = quiet.controller.turn(quiet.now, [interface.RegistryUpdate("changes", (draining,))])
+    assert interface.SetWithdrawn("s-1", True) in orders and interface.ClearTable(1) in orders
 
 
 def test_no_wake_up_is_asked_for_while_nothing_is_due() -> None:
@@ -92,13 +92,13 @@
     quiet = Quiet(TARGET)
     quiet.second()
     quiet.now += 60 * MS
-    quiet.controller.turn(quiet.now, [interface.Listed("whole", tuple(quiet.entries))])
+    quiet.controller.turn(quiet.now, [interface.RegistryUpdate("whole", tuple(quiet.entries))])
     visited: list[object] = []
     update = quiet.controller.fleet.update
     quiet.controller.fleet.update = lambda server: (visited.append(server.number), update(server))  # type: ignore
     quiet.now += 60 * MS
     left_out = tuple(quiet.entries[:-1])
-    quiet.controller.turn(quiet.now, [interface.Listed("whole", left_out)])
+    quiet.controller.turn(quiet.now, [interface.RegistryUpdate("whole", left_out)])
     assert f"s-{TARGET - 1}" in visited and len(visited) < 10
 
 
@@ -148,7 +148,7 @@
     proxies, now = Proxies(range(4), 0, keep, lease), 0
 
     def join(number: int, first: bool, answered: int) -> Proxy:
-        proxy = proxies.join(interface.Joined(number, first, "east", None), 0.0, now)
+        proxy = proxies.join(interface.ProxyJoined(number, first, "east", None), 0.0, now)
         proxies.answer(proxy, answered, answered, now)
         return proxy
 
@@ -170,18 +170,21 @@
     """The lines of one that was gone for long were taken out late, and it was kept for good."""
     told = deployment(slices=0, proxies=2)
     now, controller = 100 * SECOND, Controller(told, 1, 100 * SECOND)
-    entries = tuple(interface.Entry(name, "east", "ready", 1.0, None) for name in ("a", "b"))
-    news: list[interface.Event] = [interface.Listed("whole", entries), interface.Joined(0, True, "east", 1.0)]
-    news += [interface.Probed(name, 0, MS, None) for name in ("a", "b")]
+    entries = tuple(interface.RegistryEntry(name, "east", "ready", 1.0, None) for name in ("a", "b"))
+    news: list[interface.Event] = [
+        interface.RegistryUpdate("whole", entries),
+        interface.ProxyJoined(0, True, "east", 1.0),
+    ]
+    news += [interface.ProbeResult(name, 0, MS, None) for name in ("a", "b")]
     controller.turn(now, news)
     now += SECOND
-    controller.turn(now, [interface.Left(0)])  # nobody is there to be told
-    controller.turn(now, [interface.Listed("changes", (entries[0]._replace(state="gone"),))])
+    controller.turn(now, [interface.ProxyLeft(0)])  # nobody is there to be told
+    controller.turn(now, [interface.RegistryUpdate("changes", (entries[0]._replace(state="gone"),))])
     now += controller.rules.keep_us + SECOND
     controller.turn(now, [])
     assert "a" in controller.backends and controller.backends["a"].state == "past"
-    orders = controller.turn(now + SECOND, [interface.Joined(0, False, "east", 1.0)])
+    orders = controller.turn(now + SECOND, [interface.ProxyJoined(0, False, "east", 1.0)])
     for _ in range(20):
         now += SECOND
         orders += controller.turn(now, [])
-    assert interface.Own(0, "a", 0.0) in orders and list(controller.backends) == ["b"]
+    assert interface.SetTableEntry(0, "a", 0.0) in orders and list(controller.backends) == ["b"]
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -330,14 +330,20 @@
                     one.load_metric_stats.add(metric_name="ms", total_metric_value=70.0)
                 await stream.send_message(report)
                 await until(
-                    lambda: sum(isinstance(event, interface.Met | interface.Came) for event in heard) >= 2
+                    lambda: (
+                        sum(
+                            isinstance(event, interface.ServerReport | interface.RequestReport)
+                            for event in heard
+                        )
+                        >= 2
+                    )
                 )
                 await stream.end()
             channel.close()
-            met = [event for event in heard if isinstance(event, interface.Met)]
-            came = [event for event in heard if isinstance(event, interface.Came)]
-            assert met == [interface.Met("n0", "west", 1, 8, 10_000, 1_000_000, None)]
-            assert came == [interface.Came(3, "trade-order", 10, 1, 1_000_000)]
+            met = [event for event in heard if isinstance(event, interface.ServerReport)]
+            came = [event for event in heard if isinstance(event, interface.RequestReport)]
+            assert met == [interface.ServerReport("n0", "west", 1, 8, 10_000, 1_000_000, None)]
+            assert came == [interface.RequestReport(3, "trade-order", 10, 1, 1_000_000)]
 
     play(test())
 
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -458,16 +458,16 @@
 # the store
 
 
-def own(number: int, node: str) -> interface.Own:
-    return interface.Own(number, node, 1.0)
+def own(number: int, node: str) -> interface.SetTableEntry:
+    return interface.SetTableEntry(number, node, 1.0)
 
 
 def test_the_store_opens_with_what_was_committed(tmp_path: Path) -> None:
     store = Assignments(tmp_path / "s", 4)
-    assert store.commit([own(0, "a"), own(1, "b"), interface.Mark(1, True)]) and not store.commit(
-        [interface.Mark(2, True)]
+    assert store.commit([own(0, "a"), own(1, "b"), interface.Barrier(1, True)]) and not store.commit(
+        [interface.Barrier(2, True)]
     )
-    store.commit([interface.Empty(0)])
+    store.commit([interface.ClearTable(0)])
     with pytest.raises(Spoilt, match="locked"):
         Assignments(tmp_path / "s", 4)  # one controller at a time
     store.snapshot(tmp_path / "copy")
@@ -522,7 +522,7 @@
 print("open", turn, flush=True)
 while True:
     turn += 1
-    store.commit([interface.Own(number, f"t{turn}", 1.0) for number in range(8)])
+    store.commit([interface.SetTableEntry(number, f"t{turn}", 1.0) for number in range(8)])
     print(turn, flush=True)
 """
 
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -62,7 +62,7 @@
     def __init__(self, slices: range) -> None:
         super().__init__(SIZE.slices, SIZE.proxies, ANSWER_S, ZONES)
         self.charges[""] = slices
-        self.checker = Checker(Bounds(TOLD.bare_us + SLACK_US, WITHDRAWN_US + SLACK_US), int)
+        self.checker = Checker(Bounds(TOLD.unserved_limit_us + SLACK_US, WITHDRAWN_US + SLACK_US), int)
         self.tables: dict[str, dict[int, tuple[str | None, bool]]] = {zone: {} for zone in ZONES}
         self.out: dict[str, set[str]] = {zone: set() for zone in ZONES}
         self.steps: dict[str, dict[int, int]] = {zone: dict.fromkeys(slices, 0) for zone in ZONES}
