--- a/benchmarks/registry_herd.py
+++ b/benchmarks/registry_herd.py
@@ -47,7 +47,7 @@
                 served[who] = now
         later = [one for one in later if one[0] > now]
         for who, controller in enumerate(controllers):
-            if served[who] or (not news[who] and now < controller.woken_at):
+            if served[who] or (not news[who] and now < controller.timer_at):
                 continue
             if not grows:
                 controller.registry.patience_us = min(SECOND_US, controller.registry.patience_us)
--- a/lapispass/controller.py
+++ b/lapispass/controller.py
@@ -1,11 +1,12 @@
-"""One controller: which server owns which slice, and when that may change.
+"""One controller: decides which server owns which slice, and when that may change.
 
-A front makes one `Controller` for each instance and calls `turn(now_us, events)` for every batch of news; the
-orders it returns take effect together, as one message for each proxy. The events and orders stand in
-`lapispass/interface.py`. Nothing here reads a clock or does I/O. `docs/design.md` tells what is kept.
+A front end creates one `Controller` for each instance and calls `turn(now_us, events)` for every batch of
+events. The orders that it returns take effect together, as one message for each proxy. Events and orders are
+defined in `lapispass/interface.py`. Nothing here reads a clock or does I/O. `docs/design.md` describes the
+state that is kept.
 
-A turn looks at the servers and slices that have news or whose time has come. Each says when it must be looked
-at next; a wake-up is asked for at the earliest of these times.
+A turn evaluates the servers and slices that have new events or are due. Each of them says when its next
+evaluation is due, and a timer is set for the earliest of these times.
 """
 
 from __future__ import annotations
@@ -29,95 +30,95 @@
 
 
 class Controller:
-    """One instance: tells its parts the events, looks at what is due, hands back the orders."""
+    """One instance: passes events to its parts, evaluates what is due and returns the orders."""
 
-    def __init__(self, told: interface.Deployment, seed: int, now: int) -> None:
-        self.current, self.rules = Turn(now, RandomSource(seed), now), Rules(told)
+    def __init__(self, deployment: interface.Deployment, seed: int, now: int) -> None:
+        self.current, self.rules = Turn(now, RandomSource(seed), now), Rules(deployment)
         self.fleet: FleetIndex[Backend] = FleetIndex()
         self.backends = self.fleet.servers
         self.agenda: Agenda[interface.BackendId] = Agenda()
-        self.channel = Channel(self.current, self.rules, told.proxies)
-        kind = Ledger if told.slices else Spread
+        self.channel = Channel(self.current, self.rules, deployment.proxies)
+        kind = Ledger if deployment.slices else Spread
         self.table: Ledger | Spread = kind(self.current, self.rules, self.fleet, self.channel)
-        self.registry = RegistryRetry(self.current, now if told.subscribes_to_registry else NEVER)
-        self.woken_at, self.looked_at = -1, now - self.rules.look_us
-        self.follows_list = False  # without a gap since it last told something
+        self.registry = RegistryRetry(self.current, now if deployment.subscribes_to_registry else NEVER)
+        self.timer_at, self.evaluated_at = -1, now - self.rules.look_us
+        self.registry_in_sync = False  # whether the watch has had no gap since the last update
 
     def turn(self, now: int, events: Sequence[interface.Event]) -> list[interface.Order]:
-        """Takes in the events; the orders that follow. Times in microseconds."""
+        """Processes the events and returns the resulting orders. Times are in microseconds."""
         turn = self.current
         turn.now, turn.orders = now, []
         for event in events:
-            self.route(event)
+            self.dispatch(event)
         if self.registry.asks():
             turn.orders.append(interface.WatchRegistry())
         prompt = any(isinstance(event, PROMPT) for event in events)
-        if prompt or now >= self.look_at():
-            self.look()
-        self.ask_to_be_woken()
+        if prompt or now >= self.next_evaluation():
+            self.evaluate()
+        self.set_timer()
         return turn.orders
 
-    def look_at(self) -> int:
-        """When something must be looked at, in microseconds."""
-        # Guards the process of a large fleet: late reports and answers come in every turn, and a look for
-        # each would leave no time to read what is urgent.
-        now, table = self.current.now, self.table.next_look(self.current.now, self.channel.joined)
+    def next_evaluation(self) -> int:
+        """When the next evaluation is due, in microseconds."""
+        # In a large fleet every turn brings reports and acknowledgements that are not urgent. An evaluation
+        # for each of them would leave no time to process urgent events, so evaluations are spaced.
+        now, table = self.current.now, self.table.next_evaluation(self.current.now, self.channel.joined)
         due = now if self.current.updated_servers else min(self.agenda.next(), table)
-        return max(due, self.looked_at + self.rules.look_us) if due < NEVER else NEVER
+        return max(due, self.evaluated_at + self.rules.look_us) if due < NEVER else NEVER
 
-    def look(self) -> None:
-        """Looks at the servers and slices that have news or whose time has come."""
+    def evaluate(self) -> None:
+        """Evaluates the servers and slices that have new events or are due."""
         turn = self.current
-        self.looked_at = turn.now
+        self.evaluated_at = turn.now
         self.table.read_rates()
         due = {*turn.updated_servers, *self.agenda.due(turn.now)}
         turn.updated_servers.clear()
         for server in self.fleet.in_order(due):
-            self.agenda.set(server.number, server.visit())
+            self.agenda.set(server.number, server.evaluate())
             if server.state == "past" and self.table.forget(server.number):
                 self.agenda.forget(server.number)
                 self.fleet.forget(server.number)
                 continue
             self.fleet.update(server)
-            self.table.visited(server)
-        self.table.look(turn.now, self.rules.look_us, self.channel.offer)
+            self.table.evaluated(server)
+        self.table.evaluate(turn.now, self.rules.look_us, self.channel.offer)
 
-    def ask_to_be_woken(self) -> None:
-        """Asks for a wake-up where none that was asked for comes in time."""
-        now, at = self.current.now, min(self.look_at(), self.registry.ask_at)
-        if at < NEVER and (self.woken_at <= now or at < self.woken_at):
-            self.woken_at = max(at, now + 1)
-            self.current.orders.append(interface.SetTimer(0, self.woken_at))
+    def set_timer(self) -> None:
+        """Sets a timer, unless the one that is set fires in time."""
+        now, at = self.current.now, min(self.next_evaluation(), self.registry.ask_at)
+        if at < NEVER and (self.timer_at <= now or at < self.timer_at):
+            self.timer_at = max(at, now + 1)
+            self.current.orders.append(interface.SetTimer(0, self.timer_at))
 
-    def standings(self) -> list[ServerStatus]:
-        """How each server stood when it was last looked at, for fronts that hold connections there."""
-        return [server.standing() for server in self.backends.values()]
+    def server_statuses(self) -> list[ServerStatus]:
+        """The status of each server at its last evaluation, for front ends that hold connections there."""
+        return [server.status() for server in self.backends.values()]
 
     def progress(self) -> Progress:
-        """How far all handovers are, for the log."""
+        """The progress of all handovers, for the log."""
         table = self.table
         if not isinstance(table, Ledger):
             return Progress()
         return progress(table.holdings, self.channel.proxies, self.current.now, table.turns_without_room)
 
     def handover(self, number: int) -> HandoverState | None:
-        """How far the handover of a slice is, for the log; None for a slice that is not ours."""
+        """The state of a slice's handover, for the log; None where this controller does not hold it."""
         slices = self.table.holdings.slices if isinstance(self.table, Ledger) else {}
         if (slice_ := slices.get(number)) is None:
             return None
         return handover_state(slice_, self.channel.proxies, self.current.now)
 
     def at_rest(self, number: int) -> bool:
-        """Whether no handover of a slice is under way; one that was emptied and has no owner is under way."""
+        """Whether no handover of a slice is in progress; it is while an emptied slice has no owner."""
         slices = self.table.holdings.slices if isinstance(self.table, Ledger) else {}
         slice_ = slices.get(number)
         return slice_ is None or not slice_.moving
 
-    def route(self, event: interface.Event) -> None:
-        """Tells the parts that an event concerns."""
+    def dispatch(self, event: interface.Event) -> None:
+        """Passes an event to the parts that it concerns."""
         match event:
             case interface.RegistryUpdate():
-                self.take_list(event)
+                self.apply_registry_update(event)
             case interface.ServerReport(number) if server := self.backends.get(number):
                 self.current.report_received()
                 server.met(event)
@@ -133,8 +134,8 @@
             case interface.SliceGrant(number, ours):
                 self.table.given(number, ours)
             case interface.StoredOwner(number, backend):
-                if backend not in self.backends:  # up until a probe fails
-                    self.list_entry(interface.RegistryEntry(backend, "", "gone", None, None), False)
+                if backend not in self.backends:  # taken as up until a probe fails
+                    self.apply_registry_entry(interface.RegistryEntry(backend, "", "gone", None, None), False)
                     self.backends[backend].probed(0)
                 self.table.held(number, backend)
             case interface.ProxyJoined():
@@ -145,25 +146,27 @@
             case interface.BarrierAck():
                 self.channel.answer(event)
 
-    def take_list(self, news: interface.RegistryUpdate) -> None:
-        """What the registry tells; where it was lost, it is asked again."""
-        live = self.follows_list and news.kind == "changes"
-        if news.kind == "lost":
+    def apply_registry_update(self, update: interface.RegistryUpdate) -> None:
+        """Applies an update of the registry; a lost connection is requested again."""
+        live = self.registry_in_sync and update.kind == "changes"
+        if update.kind == "lost":
             self.registry.lost()
-        elif news.kind != "remembered":
+        elif update.kind != "remembered":
             self.registry.answered()
-        self.follows_list = news.kind not in ("lost", "remembered")
-        for entry in news.entries:
-            self.list_entry(entry, news.kind == "remembered", live)
-        if news.kind in ("whole", "remembered"):  # what is left out is gone
-            named = {entry.backend for entry in news.entries}
+        self.registry_in_sync = update.kind not in ("lost", "remembered")
+        for entry in update.entries:
+            self.apply_registry_entry(entry, update.kind == "remembered", live)
+        if update.kind in ("whole", "remembered"):  # a snapshot: servers that it leaves out are gone
+            named = {entry.backend for entry in update.entries}
             missing = [server for number, server in self.backends.items() if number not in named]
             for server in missing:
                 entry = interface.RegistryEntry(server.number, server.zone, "gone", server.weight, None)
-                self.list_entry(entry, False)
+                self.apply_registry_entry(entry, False)
 
-    def list_entry(self, entry: interface.RegistryEntry, remembered: bool, live: bool = False) -> None:
-        """One server of the list; one told as before costs nothing."""
+    def apply_registry_entry(
+        self, entry: interface.RegistryEntry, remembered: bool, live: bool = False
+    ) -> None:
+        """Applies one entry of the registry; an unchanged one costs nothing."""
         if (server := self.backends.get(entry.backend)) is None:
             server = Backend(self.current, entry.backend, self.fleet.next_place(), self.rules)
             self.backends[entry.backend] = server
--- a/lapispass/core/server_state.py
+++ b/lapispass/core/server_state.py
@@ -64,7 +64,7 @@
             self.good_at = self.turn.now
         self.rate = rate
 
-    def standing(self) -> ServerStatus:
+    def status(self) -> ServerStatus:
         """How it stood when it was last looked at."""
         work = (self.pace, self.busy, self.born, self.held)
         return ServerStatus(self.number, self.state, self.zone, self.weight, *work)
--- a/lapispass/core/slice_table.py
+++ b/lapispass/core/slice_table.py
@@ -53,9 +53,9 @@
         super().joined(event, missed)
         self.shut_out.missed(missed)
 
-    def visited(self, server: ServerState) -> None:
+    def evaluated(self, server: ServerState) -> None:
         """A server was looked at: its shares may have to change."""
-        super().visited(server)
+        super().evaluated(server)
         if server.number in self.holdings.owned:
             self.holdings.unsettled.add(server.number)
 
@@ -76,6 +76,6 @@
                 server.carry(self.holdings.rate(owner))
                 self.turn.updated_servers.add(owner)
 
-    def next_look(self, now: int, joined: int) -> int:
+    def next_evaluation(self, now: int, joined: int) -> int:
         """When it has to be looked at without news."""
-        return min(super().next_look(now, joined), self.holdings.next_due(now))
+        return min(super().next_evaluation(now, joined), self.holdings.next_due(now))
--- a/lapispass/core/table.py
+++ b/lapispass/core/table.py
@@ -14,7 +14,7 @@
 
 
 class Table:
-    """News are noted here and acted on in `look`."""
+    """News are noted here and acted on in `evaluate`."""
 
     def __init__(self) -> None:
         self.changed, self.due_at = False, NEVER
@@ -35,7 +35,7 @@
     def left(self, proxy: int) -> None:
         """A proxy's stream has ended."""
 
-    def visited(self, server: ServerState) -> None:
+    def evaluated(self, server: ServerState) -> None:
         """A server was looked at: its health or its place in the list may have changed."""
         self.changed = True
 
@@ -46,11 +46,11 @@
     def read_rates(self) -> None:
         """Before servers are looked at: tells them what their slices bring."""
 
-    def next_look(self, now: int, joined: int) -> int:
+    def next_evaluation(self, now: int, joined: int) -> int:
         """When it has to be looked at without news; nothing can be said while no proxy has joined."""
         return now if self.changed and joined else self.due_at
 
-    def look(self, now: int, every_us: int, ask: Callable[[], SendBudget | None]) -> None:
+    def evaluate(self, now: int, every_us: int, ask: Callable[[], SendBudget | None]) -> None:
         """Where something has changed or is due, acts as soon as the channel offers a turn."""
         if not (self.changed or now >= self.due_at):
             return
--- a/lapispass/core/turn.py
+++ b/lapispass/core/turn.py
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class Turn:
-    """The turn under way. Times in microseconds."""
+    """The current turn. Times are in microseconds."""
 
     now: int
     random: RandomSource
-    last_report_at: int  # when a report about any server last came
+    last_report_at: int  # when a report about any server was last received
     orders: list[interface.Order] = field(default_factory=list)
     updated_servers: set[interface.BackendId] = field(
         default_factory=set
-    )  # servers with news since they were looked at
+    )  # servers with events since their last evaluation
     awaiting_reports: set[interface.BackendId] = field(
         default_factory=set
-    )  # to be looked at with the next report
+    )  # servers to evaluate when the next report is received
 
     def report_received(self) -> None:
-        """A report about some server has come: silence of others can be told from late reports now."""
+        """Notes a report about some server: silent servers can now be told apart from delayed reports."""
         self.last_report_at = self.now
         self.updated_servers |= self.awaiting_reports
         self.awaiting_reports.clear()
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -88,7 +88,9 @@
 
     def learn_addresses(self) -> None:
         """Where nodes are; zones come with how the module sees them."""
-        zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
+        zones = {
+            str(standing.backend): standing.zone for standing in self.service.controller.server_statuses()
+        }
         self.addresses = {
             str(node): tables.Address(address, zones.get(str(node), ""))
             for node, address in self.service.registry.addresses.items()
@@ -145,7 +147,7 @@
                     standing.busy_share,
                     standing.completed_per_s,
                 )
-                for standing in self.service.controller.standings()
+                for standing in self.service.controller.server_statuses()
             ],
         )
         orders = self.keeper.look(now)
--- a/lapispass/net/launch.py
+++ b/lapispass/net/launch.py
@@ -85,17 +85,17 @@
             # for it.
             told = replace(deployment.read(given["settings"]), subscribes_to_registry=True)
             part = "limits"
-            sockets = deployment.SettingsSection(given).part("limits").whole("sockets", 1024)
+            sockets = deployment.SettingsSection(given).section("limits").integer("sockets", 1024)
             limits = Limits.within(sockets, told.proxies, told.slices)
             part = "known"
-            listed = deployment.SettingsSection(given).part("known").told
+            listed = deployment.SettingsSection(given).section("known").content
             known = Codec(told, limits.id_bytes).listed(
                 listed or {"revision": 0, "complete": False, "members": []}
             )
             part = "seed"
             seed = int(str(given["seed"]), 16)
             part = "store.address"
-            relay = deployment.SettingsSection(given).part("store").word("address", None)
+            relay = deployment.SettingsSection(given).section("store").string("address", None)
             split(relay)
             part = "listen"
             split(listen := one("LB_LISTEN", "listen"))
--- a/lapispass/policy/health.py
+++ b/lapispass/policy/health.py
@@ -16,7 +16,7 @@
 
 
 class Backend(ServerState):
-    """One server. What concerns it is told by its methods; `visit` judges it."""
+    """One server. What concerns it is told by its methods; `evaluate` judges it."""
 
     __slots__ = ("rules",)
 
@@ -73,13 +73,13 @@
         age = max(0, self.turn.now - self.born) / self.rules.cold_us if self.born else 1.0
         return min(1.0, self.rules.cold_share + (1 - self.rules.cold_share) * age)
 
-    def visit(self) -> int:
+    def evaluate(self) -> int:
         """Judges it; returns when to look again, if no news come before."""
         if self.reported or self.turn.now >= self.read_at:
             self.read_traffic()
         self.judge()
         self.state, self.warm = self.stands(), self.warmth() >= 1
-        return max(self.turn.now + 1, self.next_visit())
+        return max(self.turn.now + 1, self.next_evaluation())
 
     def read_traffic(self) -> None:
         """Reads the decaying sums; again half a report's time later, until nothing is left of them."""
@@ -164,7 +164,7 @@
             self.turn.log(f"backend {self.number} lets in {fit:.2f} of {self.rate:.1f}/s, {waits}")
         self.fit = fit
 
-    def next_visit(self) -> int:
+    def next_evaluation(self) -> int:
         """When something about it can change without news."""
         now, rules, at = self.turn.now, self.rules, NEVER
         if not self.rate:
--- a/lapispass/xds/beside.py
+++ b/lapispass/xds/beside.py
@@ -24,7 +24,9 @@
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Addresses are the registry's; a node that it forgets is no endpoint any more."""
         if any(isinstance(event, interface.RegistryUpdate) for event in events):
-            zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
+            zones = {
+                str(standing.backend): standing.zone for standing in self.service.controller.server_statuses()
+            }
             self.desk.addresses = {
                 str(node): tables.Address(address, zones.get(str(node), ""))
                 for node, address in self.service.registry.addresses.items()
--- a/tests/test_due_look.py
+++ b/tests/test_due_look.py
@@ -223,10 +223,10 @@
 
         monkeypatch.setattr(Ledger, "read_rates", late)
     else:
-        visit = Backend.visit
+        evaluate = Backend.evaluate
 
         def forgetful(server: Backend) -> int:
-            at = visit(server)
+            at = evaluate(server)
             match skipped:
                 case "probe" if server.state in ("unproven", "ill"):
                     return at + 3 * SECOND
@@ -236,7 +236,7 @@
                     return at + 5 * SECOND
             return at
 
-        monkeypatch.setattr(Backend, "visit", forgetful)
+        monkeypatch.setattr(Backend, "evaluate", forgetful)
 
     def play(kind: type[Controller]) -> None:
         for seed, faults in ((1, (days.zone, days.roll)), (2, (silent,))):
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -317,12 +317,12 @@
     async with fleet(tmp_path, 2, 2, bounds="connections: 40 new_per_s: 1000 burst: 100") as stand:
         held = await boards(stand, 30, "g0")
         controller = stand.service.controller
-        await until(lambda: sum(standing.held_load for standing in controller.standings()) > 0.5)
+        await until(lambda: sum(standing.held_load for standing in controller.server_statuses()) > 0.5)
         await until(lambda: sum(stand.desk.keeper.held().values()) == 30)
         await stand.kill_gate("g0")
         stand.desk.keeper.left(stand.service.clock.now() - 6_000 * MS, "g0")
         await until(lambda: "g0" not in stand.desk.keeper.gates)
-        await until(lambda: sum(standing.held_load for standing in controller.standings()) == 0)
+        await until(lambda: sum(standing.held_load for standing in controller.server_statuses()) == 0)
         for board in held:
             await board.close()
 
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -81,7 +81,7 @@
     quiet = Quiet(TARGET)
     quiet.second()
     woken: list[int] = []
-    while (at := quiet.controller.woken_at) > quiet.now:  # what was reported fades
+    while (at := quiet.controller.timer_at) > quiet.now:  # what was reported fades
         quiet.now = at
         woken.append(at)
         quiet.controller.turn(quiet.now, [])
