--- a/tests/configurations.py
+++ b/tests/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of a controller's process, and the files in which it finds them."""
+"""Configurations of a controller process, and the files that it reads them from."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def listing(version: int, *members: object, complete: bool = True) -> dict[str, object]:
-    """A list as the registry writes it, whole or some changes."""
+    """The registry's JSON: a complete listing, or some changes."""
     return {"revision": version, "complete": complete, "members": list(members)}
 
 
@@ -40,7 +40,7 @@
 }
 
 
-def written(file: Path, config: object) -> dict[str, str]:
-    """Writes a configuration; the environment by which a start finds it."""
+def write_config(file: Path, config: object) -> dict[str, str]:
+    """Writes a configuration file; returns the environment variables that point a process to it."""
     file.write_text(json.dumps(config))
     return {"LB_CONFIG": str(file)}
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from fleet import MS, SECOND, Fleet, answers, changed, deployment, server, standing
+from fleet import MS, SECOND, Fleet, acknowledgements, deployment, events_to_running, registry_changes, server
 
 from lapispass import interface
 from lapispass.controller import Controller
@@ -41,7 +41,7 @@
         ),
         24,
         seed=3,
-        visits=0,
+        requests=0,
         ran_s=4,
     )
     for backend in range(100, 112):
@@ -54,11 +54,15 @@
 
 def test_levels_of_servers_whose_sums_come_one_after_the_other_go_out_together() -> None:
     fleet = Fleet(
-        deployment(slices=24, max_messages=1000, report_interval_us=2 * SECOND), 12, seed=4, visits=0, ran_s=4
+        deployment(slices=24, max_messages=1000, report_interval_us=2 * SECOND),
+        12,
+        seed=4,
+        requests=0,
+        ran_s=4,
     )
     before = len(fleet.sent)
     for turn in range(80):
-        fleet.news += [
+        fleet.events += [
             interface.ServerReport(100 + turn % 12, "east", 0, 40, 2500 * MS, SECOND, None),
             *(interface.RequestReport(turn % 12 + more, "look", 20, 0, SECOND) for more in (0, 12)),
         ]
@@ -76,7 +80,7 @@
     )
     now, controller, chance = 100 * SECOND, Controller(told, 1, 100 * SECOND), random.Random(5)
     entries = [server(n) for n in range(130)]
-    controller.turn(now, standing(entries, 160, 260, first=False))
+    controller.turn(now, events_to_running(entries, 160, 260, first=False))
     draining, told_at, slowest, sent = iter(range(120)), {}, 0, []
     for step in range(1200):
         now += 50 * MS
@@ -88,13 +92,13 @@
             news += [interface.ProxyLeft(step % 160), interface.ProxyJoined(step % 160, False, "east", 1.0)]
         if step % 10 == chance.randrange(10):
             told_at[number := next(draining)] = now
-            news.append(changed(server(number, "draining")))
+            news.append(registry_changes(server(number, "draining")))
         orders = controller.turn(now, news)
         sent += [now] * any(isinstance(order, interface.Barrier) for order in orders)
         for order in orders:
             if isinstance(order, interface.SetWithdrawn) and order.withdrawn and order.backend in told_at:
                 slowest = max(slowest, now - told_at.pop(order.backend))
-        if news := answers(orders, 160, 90 * MS):
+        if news := acknowledgements(orders, 160, 90 * MS):
             controller.turn(now, news)
     assert slowest <= 1200 * MS and all(now - since <= 1200 * MS for since in told_at.values())
     assert max(sum(at < one <= at + 10 * SECOND for one in sent) for at in sent) <= 20
@@ -130,14 +134,14 @@
     )
     now, controller = 100 * SECOND, Controller(told, 1, 100 * SECOND)
     entries = [server(n) for n in range(100)]
-    controller.turn(now, standing(entries, 400, 300))
+    controller.turn(now, events_to_running(entries, 400, 300))
     waiting: list[list[float]] = []  # of each message that has not left whole: its mark, its lines
     most = 0.0
     for step in range(600):
         now += 50 * MS
         news: list[interface.Event] = []
         if step % 20 == 0 and step // 20 < 60:
-            news.append(changed(entries[step // 20]._replace(state="draining")))
+            news.append(registry_changes(entries[step // 20]._replace(state="draining")))
         leaving = pace * told.lines_per_s / 20
         while waiting and leaving > 0:
             part = min(leaving, waiting[0][1])
@@ -189,7 +193,7 @@
         ],
     )
     if met:  # they have answered a mark: of the withdrawal that brought it nothing is left
-        controller.turn(now, [changed(servers[99]._replace(state="draining"))])
+        controller.turn(now, [registry_changes(servers[99]._replace(state="draining"))])
         controller.turn(now, [interface.BarrierAck(proxy, 1, 90 * MS) for proxy in range(400)])
     lifted: list[int] = []
     controller.turn(now, [interface.ProxyLeft(proxy) for proxy in range(400 if met else 0)] + joined)
@@ -197,9 +201,9 @@
         now += 50 * MS
         orders = controller.turn(now, [])
         lifted += [order.backend for order in orders if isinstance(order, interface.SetWithdrawn)]
-        controller.turn(now, answers(orders, 400, 90 * MS))
+        controller.turn(now, acknowledgements(orders, 400, 90 * MS))
         assert controller.channel.waiting <= told.queue_limit_lines / 4 + 400 * 2
     assert sorted(lifted) == ([] if met else [server.backend for server in servers])
     controller.turn(now, joined[:1] if met else [interface.ProxyJoined(7, False, "east", 1.0)])
-    orders = controller.turn(now + SECOND, [changed(servers[4]._replace(state="draining"))])
+    orders = controller.turn(now + SECOND, [registry_changes(servers[4]._replace(state="draining"))])
     assert interface.SetWithdrawn(104, True) in orders
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fleet import SECOND, Fleet, changed, deployment
+from fleet import SECOND, Fleet, deployment, registry_changes
 
 from lapispass import interface
 
@@ -76,7 +76,7 @@
         fleet.join(number)
     while None in fleet.owners():
         fleet.run(0.05)
-    assert fleet.now - given_at < fleet.told.unserved_limit_us // 4 + SECOND
+    assert fleet.now - given_at < fleet.deployment.unserved_limit_us // 4 + SECOND
 
 
 def test_where_levels_have_no_effect_the_new_owner_waits_for_the_last_write() -> None:
@@ -89,9 +89,9 @@
 def test_a_server_that_is_back_before_the_list_tells_may_hold_writes() -> None:
     fleet = Fleet(deployment(), 4, seed=11, ran_s=4)
     # The list is late: the process is up again and takes writes.
-    fleet.news.append(changed(fleet.list[102]._replace(state="gone")))
+    fleet.events.append(registry_changes(fleet.registry[102]._replace(state="gone")))
     fleet.run(3.2)
-    fleet.news.append(changed(fleet.list[102]._replace(started_us=fleet.now - 5 * SECOND)))
+    fleet.events.append(registry_changes(fleet.registry[102]._replace(started_us=fleet.now - 5 * SECOND)))
     fleet.run(12)  # the model holds the single owner
     assert all(table.writes for table in fleet.store.values())
 
@@ -129,7 +129,7 @@
     fleet.change(owner, "draining")
     while moved.owner in (owner, None):
         fleet.run(0.05)
-    assert fleet.now - shut_out_at < fleet.told.unserved_limit_us // 2 + SECOND
+    assert fleet.now - shut_out_at < fleet.deployment.unserved_limit_us // 2 + SECOND
 
 
 def test_an_empty_step_that_follows_a_last_step_stands_long_enough_to_be_answered() -> None:
@@ -146,7 +146,7 @@
     emptied_at = fleet.now
     while moved.owner is None:
         fleet.run(0.05)
-    assert fleet.now - emptied_at >= fleet.told.bare_us // 4
+    assert fleet.now - emptied_at >= fleet.deployment.unserved_limit_us // 4
 
 
 def test_handovers_go_on_while_proxies_join_all_the_time() -> None:
@@ -180,20 +180,20 @@
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=15, ran_s=3)
     fleet.change(102, "draining")
     fleet.run(0.3)
-    fleet.news.append(changed(fleet.list[102]._replace(state="gone")))
+    fleet.events.append(registry_changes(fleet.registry[102]._replace(state="gone")))
     fleet.run(12)  # the model holds the single owner
     assert 102 not in fleet.owners() and None not in fleet.owners()
 
 
 def test_an_owner_that_a_fresh_controllers_list_leaves_out_keeps_its_slices_while_it_answers() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=19, ran_s=2)
-    true = fleet.list.pop(101)
+    true = fleet.registry.pop(101)
     fleet.crash()
     fleet.run(4)
     fleet.start()
     for number in range(4):
         fleet.join(number)
-    fleet.list[101] = true._replace(state="gone")
+    fleet.registry[101] = true._replace(state="gone")
     fleet.run(9)
     assert sum(table.owner == 101 for table in fleet.store.values()) == 3
 
@@ -201,7 +201,7 @@
 def test_small_slices_of_the_owner_longest_shut_out_open_before_larger_ones() -> None:
     fleet = Fleet(deployment(proxies=40, slices=96, queue_limit_lines=2000.0, max_messages=1000), 12, seed=20)
     for _ in range(4):
-        fleet.news += [
+        fleet.events += [
             interface.RequestReport(number, "look", 40, 0, SECOND) for number in fleet.store if number % 12
         ]
         fleet.run(1)
@@ -219,7 +219,7 @@
     fleet.run(9)
     assert any(103 in proxy.out for proxy in fleet.proxies)
     fleet.crash()
-    fleet.change(103, "ready", born=fleet.now)
+    fleet.change(103, "ready", started_us=fleet.now)
     fleet.start()
     for number in range(4):
         fleet.join(number)
@@ -235,7 +235,7 @@
     fleet.change(103, "gone")
     fleet.run(9)
     fleet.crash()
-    fleet.change(103, "ready", born=fleet.now)
+    fleet.change(103, "ready", started_us=fleet.now)
     fleet.start()
     fleet.change(106, "ready")
     fleet.run(0.05)
@@ -256,14 +256,14 @@
     fleet.change(103, "gone")
     fleet.run(9)
     assert any(103 in proxy.out for proxy in fleet.proxies)
-    away = fleet.list.pop(103)
+    away = fleet.registry.pop(103)
     fleet.crash()
     fleet.start()
     for number in range(4):
         fleet.join(number)
     fleet.run(8)
-    fleet.list[103] = away
-    fleet.change(103, "ready", born=fleet.now)
+    fleet.registry[103] = away
+    fleet.change(103, "ready", started_us=fleet.now)
     fleet.run(1)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
@@ -281,7 +281,7 @@
     assert 103 not in fleet.controller.backends
     fleet.join(2)
     fleet.run(5)
-    fleet.change(103, "ready", born=fleet.now)
+    fleet.change(103, "ready", started_us=fleet.now)
     fleet.run(1)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from fleet import MS, SECOND, Fleet, changed, deployment, server
+from fleet import MS, SECOND, Fleet, deployment, registry_changes, server
 
 from lapispass import interface
 from lapispass.policy.health import Backend
@@ -11,12 +11,12 @@
 
 def test_a_mute_server_loses_its_slices_and_an_overloaded_one_keeps_them() -> None:
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
-    fleet.mute.add(101)
+    fleet.unresponsive.add(101)
     fleet.run(12)
     assert 101 not in fleet.owners() and any("silent" in line for line in fleet.logs)
-    fleet.mute.clear()
+    fleet.unresponsive.clear()
     for _ in range(8):
-        fleet.news.append(interface.ServerReport(103, "east", 30, 50, 1900 * MS, SECOND, None))
+        fleet.events.append(interface.ServerReport(103, "east", 30, 50, 1900 * MS, SECOND, None))
         fleet.run(1)
     assert not any("failing" in line for line in fleet.logs)
 
@@ -27,7 +27,7 @@
 def test_a_failing_server_loses_its_slices_where_a_move_bares_them_for_less(lost, linger, moves) -> None:
     # Half of the tries at jammed servers failed for some seconds; moving their slices bared them for seven.
     fleet = Fleet(deployment(linger_us=linger * SECOND), backends=4, seed=1, ran_s=4)
-    fleet.losing[101] = lost
+    fleet.failing_tries[101] = lost
     fleet.run(12)
     assert any("failing" in line for line in fleet.logs) == moves
     assert (
@@ -43,7 +43,7 @@
 def test_slices_stay_where_most_servers_of_a_zone_fail_at_once(backends, failing, moves) -> None:
     # A zone was cut off for some seconds: its slices all went to the others, which could not carry them.
     fleet = Fleet(deployment(slices=24), backends=backends, seed=1, ran_s=4)
-    fleet.losing.update(dict.fromkeys(failing, 9))
+    fleet.failing_tries.update(dict.fromkeys(failing, 9))
     fleet.run(4)
     assert sum("failing" in line for line in fleet.logs) == len(failing)
     fleet.change(100, "draining")  # what must move goes to a server that is well
@@ -59,7 +59,7 @@
     # and lay bare for 6.5 s.
     fleet = Fleet(deployment(slices=12), backends=40, seed=1)  # 28 of the servers have no slice here
     fleet.run(4)
-    fleet.losing.update(dict.fromkeys(failing, 9))
+    fleet.failing_tries.update(dict.fromkeys(failing, 9))
     fleet.run(8)
     assert sum("failing" in line for line in fleet.logs) >= len(failing)
     moved = {s for s, table in fleet.store.items() if table.owner != 100 + s}
@@ -69,10 +69,10 @@
 def test_a_failing_server_is_probed_until_it_answers_and_well_as_soon_as_its_visits_are() -> None:
     # A probe lost just as it turned failing was its last: three servers of a zone stayed left out for good.
     fleet = Fleet(deployment(slices=24), backends=12, seed=1, ran_s=4)
-    fleet.losing.update({n: 9 for n in (101, 103, 105, 107)})
+    fleet.failing_tries.update({n: 9 for n in (101, 103, 105, 107)})
     fleet.run(3)
-    fleet.news += [interface.ProbeResult(n, 3, 1000, None) for n in (101, 103)]
-    fleet.losing.clear()
+    fleet.events += [interface.ProbeResult(n, 3, 1000, None) for n in (101, 103)]
+    fleet.failing_tries.clear()
     fleet.run(5)
     assert sum("failing->well" in line for line in fleet.logs) == 4
     fleet.run(12)
@@ -81,14 +81,14 @@
 
 def test_late_sums_of_all_make_nobody_silent() -> None:
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
-    fleet.mute.update(fleet.list)
+    fleet.unresponsive.update(fleet.registry)
     fleet.run(9)
     assert not any("silent" in line for line in fleet.logs)
 
 
 def test_a_listed_server_that_answers_nothing_gets_no_slices() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=14)
-    fleet.tell([interface.RegistryEntry(900, "east", "ready", 4.0, None)])
+    fleet.update_registry([interface.RegistryEntry(900, "east", "ready", 4.0, None)])
     fleet.run(3)
     fleet.change(102, "draining")
     fleet.run(10)
@@ -97,8 +97,8 @@
 
 def test_a_list_that_calls_running_servers_gone_moves_nothing() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=13, ran_s=4)
-    wrong = [entry._replace(state="gone") for entry in list(fleet.list.values())[:3]]
-    fleet.tell(wrong)
+    wrong = [entry._replace(state="gone") for entry in list(fleet.registry.values())[:3]]
+    fleet.update_registry(wrong)
     fleet.run(8)
     assert {100, 101, 102} <= fleet.owners() and None not in fleet.owners()
     fleet.change(101, "gone")  # this one is
@@ -124,5 +124,5 @@
         )
     assert len(looks) <= 60  # one look at each
     looks.clear()
-    orders = turn(now + 41 * MS, [changed(server(107, "draining", "west"))])
+    orders = turn(now + 41 * MS, [registry_changes(server(107, "draining", "west"))])
     assert interface.SetWithdrawn(107, True) in orders
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from configurations import CONFIG, SETTINGS, written
+from configurations import CONFIG, SETTINGS, write_config
 from fleet import SECOND
 
 from lapispass import deployment as settings
@@ -23,7 +23,7 @@
 
 
 def test_a_start_is_read(file: Path) -> None:
-    launch = Launch.read({**written(file, CONFIG), "LB_LISTEN": "127.0.0.9:5"})
+    launch = Launch.read({**write_config(file, CONFIG), "LB_LISTEN": "127.0.0.9:5"})
     assert (launch.listen, launch.registry, launch.relay, launch.seed) == (
         "127.0.0.9:5",
         "127.0.0.1:1",
@@ -100,7 +100,7 @@
 )
 def test_a_bad_start_is_named_by_its_field_in_one_line(file: Path, change: dict, named: str) -> None:
     with pytest.raises(BadStart, match=named) as error:
-        Launch.read(written(file, {**CONFIG, **change}))
+        Launch.read(write_config(file, {**CONFIG, **change}))
     assert "\n" not in str(error.value) and len(str(error.value)) < 400
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 import pytest
-from fleet import MS, SECOND, Fleet, changed, deployment, server, standing
+from fleet import MS, SECOND, Fleet, deployment, events_to_running, registry_changes, server
 
 from lapispass import interface
 from lapispass.controller import Controller
 
 
 def test_a_restarted_owner_is_let_in_by_its_sure_part() -> None:
-    fleet = Fleet(deployment(slices=3), 3, seed=9, visits=20, ran_s=5)
+    fleet = Fleet(deployment(slices=3), 3, seed=9, requests=20, ran_s=5)
     fleet.change(101, "ready", fleet.now)
     fleet.run(0.2)
     assert {table.owner: table.share for table in fleet.store.values()}[101] < 0.2
@@ -22,12 +22,12 @@
 def test_a_cold_server_gets_more_by_what_it_has_completed_since_its_start(queued) -> None:
     # A lost zone was back, and its servers refused most visits until they were warm, though none waited
     # there: the margin for news that come late was kept long after they had come.
-    fleet = Fleet(deployment(slices=3), 3, seed=9, visits=20, ran_s=5)
+    fleet = Fleet(deployment(slices=3), 3, seed=9, requests=20, ran_s=5)
     fleet.change(101, "ready", fleet.now)
     shares = []
     for _ in range(14):
         if queued:  # what is completed there takes nearly all of the agreed time
-            fleet.news += [interface.ServerReport(101, "east", 0, 200, 1700 * MS, SECOND, None)]
+            fleet.events += [interface.ServerReport(101, "east", 0, 200, 1700 * MS, SECOND, None)]
         fleet.run(0.25)
         shares.append({table.owner: table.share for table in fleet.store.values()}[101])
     assert max(shares[:7]) < 0.1, "what it did before its start tells nothing"
@@ -37,11 +37,11 @@
 def test_what_a_server_does_for_other_controllers_counts_as_its_load() -> None:
     fleet = Fleet(deployment(slices=24, load_fields=("busy",)), 4, seed=17)
     for number in range(12, 24):  # these are another controller's
-        fleet.news.append(interface.SliceGrant(number, False))
+        fleet.events.append(interface.SliceGrant(number, False))
         del fleet.store[number]
     for _ in range(6):
         for backend in (100, 101, 102, 103):
-            fleet.news.append(
+            fleet.events.append(
                 interface.ServerReport(
                     backend, "east", 0, 6, 200 * MS, SECOND, (0.2 if backend == 103 else 0.8,)
                 )
@@ -56,8 +56,8 @@
     # he52968: a server 1.7 s old was given a slice for relief, whose visits had trebled since the last sum.
     now = 100 * SECOND
     controller = Controller(deployment(), 1, now)
-    controller.turn(now, standing([server(n) for n in range(3)], 4, 6))
-    controller.turn(now, [changed(server(9, started_us=now)), interface.ProbeResult(9, 0, MS, None)])
+    controller.turn(now, events_to_running([server(n) for n in range(3)], 4, 6))
+    controller.turn(now, [registry_changes(server(9, started_us=now)), interface.ProbeResult(9, 0, MS, None)])
     slice_, loads = controller.table.holdings.slices[0], []
     for age in (1, 4):
         controller.turn(now + age * SECOND, [])
@@ -72,7 +72,7 @@
         deployment(proxies=40, slices=90, queue_limit_lines=9000.0, max_messages=1000),
         12,
         seed=18,
-        visits=20,
+        requests=20,
         ran_s=5,
     )
     for backend in range(200, 206):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,7 +14,7 @@
 
 import h11
 import pytest
-from configurations import GRADES, listing, written
+from configurations import GRADES, listing, write_config
 from parties import MEMBER, Party, Relay, answered, asked, silent
 
 COMMAND = [sys.executable, "-B", "-m", "lapispass"]
@@ -30,7 +30,7 @@
 
 def environment_of(file: Path, **changes: object) -> dict[str, str]:
     """The environment of a process whose configuration this file is to hold."""
-    return {**os.environ, **written(file, {**CONFIG, **changes})}
+    return {**os.environ, **write_config(file, {**CONFIG, **changes})}
 
 
 def test_a_process_prints_its_counters_and_ends_in_time(tmp_path: Path) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -12,8 +12,8 @@
 
 import pytest
 from async_tests import ended
-from configurations import CONFIG, GRADES, MEMBER, listing, written
-from fleet import MS, SECOND, answers, changed, deployment, server, standing
+from configurations import CONFIG, GRADES, MEMBER, listing, write_config
+from fleet import MS, SECOND, acknowledgements, deployment, events_to_running, registry_changes, server
 from full_look import FullLook
 
 from lapispass import interface
@@ -61,7 +61,7 @@
     )
     controller = kind(told, 1, now)
     entries = [server(f"s-{n}") for n in range(servers)]
-    controller.turn(now, standing(entries, proxies, mine))
+    controller.turn(now, events_to_running(entries, proxies, mine))
     return controller, now
 
 
@@ -74,7 +74,7 @@
     }
     known = listing(1, *members())
     config = {**CONFIG, "name": "n1023", "settings": settings, "known": known}
-    launch = Launch.read(written(tmp_path / "config.json", config))
+    launch = Launch.read(write_config(tmp_path / "config.json", config))
     assert len(launch.known.entries) == MANY and launch.limits.events > 5000 + 2 * 6000
     heard: list[interface.Event] = []
     registry = Registry(
@@ -113,14 +113,16 @@
 
 def test_1024_draining_servers_and_1024_given_slices_are_decided_on() -> None:
     controller, now = world(MANY, 40, 3 * MANY, 2 * MANY)
-    news: list[interface.Event] = [changed(*(server(f"s-{n}", "draining") for n in range(0, MANY, 2)))]
+    news: list[interface.Event] = [
+        registry_changes(*(server(f"s-{n}", "draining") for n in range(0, MANY, 2)))
+    ]
     told: list[interface.Order] = []
     for _ in range(600):
         now += 50 * MS
         orders, news = controller.turn(now, news), []
         told += orders
         assert controller.channel.waiting <= 0.8 * 3 * MANY * 40 / 3
-        controller.turn(now, answers(orders, 40, 50 * MS))
+        controller.turn(now, acknowledgements(orders, 40, 50 * MS))
     assert {order.backend for order in told if isinstance(order, interface.SetWithdrawn)} == {
         f"s-{n}" for n in range(0, MANY, 2)
     }
@@ -199,7 +201,9 @@
     sizes: list[int] = []
     for round_ in range(300):
         names = [f"s-{30 + round_}", f"s-{round_}"]
-        controller.turn(now, [changed(server(names[0], started_us=now), server(names[1], "draining"))])
+        controller.turn(
+            now, [registry_changes(server(names[0], started_us=now), server(names[1], "draining"))]
+        )
         controller.turn(
             now,
             [
@@ -211,9 +215,9 @@
         for step in range(40):
             now += 100 * MS
             orders = controller.turn(now, [])
-            controller.turn(now, answers(orders, 20, 50 * MS))
+            controller.turn(now, acknowledgements(orders, 20, 50 * MS))
             if step == 30:
-                controller.turn(now, [changed(server(names[1], "gone"))])
+                controller.turn(now, [registry_changes(server(names[1], "gone"))])
         table, channel = controller.table, controller.channel
         sizes.append(
             sum(
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from fleet import MS, SECOND, answers, deployment, standing
+from fleet import MS, SECOND, acknowledgements, deployment, events_to_running
 
 from lapispass import interface
 from lapispass.controller import Controller
@@ -33,10 +33,10 @@
         )
         self.entries = [interface.RegistryEntry(f"s-{n}", "east", "ready", 1.0, None) for n in range(servers)]
         self.controller = Controller(told, 1, self.now)
-        orders = self.controller.turn(self.now, standing(self.entries, PROXIES, HELD))
+        orders = self.controller.turn(self.now, events_to_running(self.entries, PROXIES, HELD))
         for _ in range(100):
             self.now += 50 * MS
-            orders = self.controller.turn(self.now, answers(orders, PROXIES, 50 * MS))
+            orders = self.controller.turn(self.now, acknowledgements(orders, PROXIES, 50 * MS))
 
     def report(self) -> list[interface.Event]:
         """What one collector reports."""
