--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -61,7 +61,7 @@
         self.writer = RecordWriter(self.service, self.lease, self.takeover, self.counters)
         self.snapshot = tables.Tables(self.deployment.slices)  # what all controllers together have published
         self.mine = Picture(
-            self.deployment.slices, self.deployment.classes, self.deployment.admits == "share"
+            self.deployment.slices, self.deployment.classes, self.deployment.admission_mode == "share"
         )
         self.revision, self.read_at = 0, 0
         self.pending: deque[tuple[int, int]] = deque(maxlen=4096)  # our turn, the revision of others it shows
@@ -95,7 +95,7 @@
 
     def stop_all(self) -> None:
         for number in sorted(self.takeover.acting):
-            self.tell(interface.Given(number, False))
+            self.tell(interface.SliceGrant(number, False))
         self.takeover.acting.clear()
 
     def may_let_write(self, now: int) -> bool:
@@ -185,7 +185,7 @@
             holder = before[member.name]
             self.gone_at[holder] = now
             if (number := self.numbers.pop(holder, None)) is not None:
-                self.tell(interface.Left(number))
+                self.tell(interface.ProxyLeft(number))
                 self.xds_server.proxy_numbers.release(now, number)
             self.counters["peers.left"] += 1
             self.log.say("controller gone", holder=holder)
@@ -196,7 +196,7 @@
             number = self.numbers[holder] = self.xds_server.proxy_numbers.allocate(now)
             self.peer_marks[member.name] = -1
             self.peer_answers.pop(member.name, None)
-            self.tell(interface.Joined(number, True, "", None))
+            self.tell(interface.ProxyJoined(number, True, "", None))
             self.counters["peers.joined"] += 1
             self.log.say("controller there", holder=holder)
         horizon = now - 100 * self.deployment.lease_us
@@ -245,7 +245,7 @@
             ]
             if ready:
                 self.peer_marks[name] = ready[-1][1]
-                self.tell(interface.Answered(number, ready[-1][0], self.clock.now() - ready[-1][1]))
+                self.tell(interface.BarrierAck(number, ready[-1][0], self.clock.now() - ready[-1][1]))
 
     async def looks(self) -> None:
         """Claims, releases, and what others may count on."""
@@ -268,7 +268,7 @@
                 self.leaving,
             )
             for number in work.stop:
-                self.tell(interface.Given(number, False))
+                self.tell(interface.SliceGrant(number, False))
             for number in work.start:
                 self.counters["peers.slices_taken"] += 1
                 self.begin(number)
@@ -315,7 +315,7 @@
         while True:
             await self.wait_until_due()
             events, orders = self.decide()
-            self.execute_orders([order for order in orders if not isinstance(order, interface.Mark)])
+            self.execute_orders([order for order in orders if not isinstance(order, interface.Barrier)])
             changes, mark = self.mine.turn(events, orders, self.xds_server.addresses)
             self.unreported.update(
                 {change.node: change.out for change in changes if isinstance(change, tables.SetOut)}
@@ -357,7 +357,7 @@
             self.show(shown, mark)
             self.counters["host.commits"] += bool(slices)
             self.marks.append((mark, revision, self.clock.now()))
-            self.tell(interface.Answered(STORE_PROXY, mark, 0))
+            self.tell(interface.BarrierAck(STORE_PROXY, mark, 0))
             self.answer_marks()
 
     def out_key(self, node: str) -> str:
@@ -377,17 +377,17 @@
             return
         for number in numbers:
             if number in self.takeover.acting:
-                self.tell(interface.Given(number, False))
+                self.tell(interface.SliceGrant(number, False))
                 self.begin(number)
 
     def begin(self, number: int) -> None:
         """Hands a slice of ours to the module, with its owner."""
-        self.tell(interface.Given(number, True))
+        self.tell(interface.SliceGrant(number, True))
         record = self.takeover.records[number]
         # Where writes are shut an earlier owner may still hold some: the module begins with an empty table
         # and its own gate, while readers go on with what stands.
         if record.owner and not record.shut:
-            self.tell(interface.Held(number, record.owner))
+            self.tell(interface.StoredOwner(number, record.owner))
 
     def as_records(self, changes: Sequence[tables.Change]) -> dict[int, Record]:
         """A turn's changes of slices that are ours."""
--- a/lapispass/xds/codec.py
+++ b/lapispass/xds/codec.py
@@ -217,7 +217,7 @@
                             if metric.metric_name == "ms")  # fmt: skip
                 mean_us = int(1000 * total_ms / max(1, int(endpoint_stats.total_successful_requests)))
                 events.append(
-                    interface.Met(
+                    interface.ServerReport(
                         node,
                         zone,
                         int(endpoint_stats.total_error_requests),
@@ -230,7 +230,7 @@
         dropped = int(stats.total_dropped_requests)
         if 0 < requests + dropped < 1 << 40:
             events.append(
-                interface.Came(
+                interface.RequestReport(
                     int(slice_number),
                     classes[suffix == "w"],
                     requests + dropped,
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -60,7 +60,7 @@
         self.open_store(source)
         # The store counts as a proxy that acknowledges at once. Without any proxy the controller would
         # publish nothing while no client may write.
-        self.inbox.append(interface.Joined(STORE_PROXY, True, "", None))
+        self.inbox.append(interface.ProxyJoined(STORE_PROXY, True, "", None))
 
     def open_store(self, source: Source) -> None:
         """Opens the store and takes over its assignments; no handover starts there for one lease.
@@ -76,9 +76,9 @@
             raise BadFile([source.at("alone.store_file", str(error))]) from None
         owners = self.store.owners()
         for number in range(self.deployment.slices):
-            self.inbox.append(interface.Given(number, True))
+            self.inbox.append(interface.SliceGrant(number, True))
             if owner := owners.get(number):
-                self.inbox.append(interface.Held(number, owner))
+                self.inbox.append(interface.StoredOwner(number, owner))
 
     def may_retry_open(self, error: Exception) -> bool:
         """Whether opening the store may succeed at a further attempt."""
@@ -94,8 +94,8 @@
         for node in source.told.node:
             weight = node.weight if node.HasField("weight") else None
             born_us = node.started_unix_ms * 1000 or None
-            entries.append(interface.Entry(node.id, node.zone, STATES[node.state], weight, born_us))
-        self.inbox.append(interface.Listed("whole", tuple(entries)))
+            entries.append(interface.RegistryEntry(node.id, node.zone, STATES[node.state], weight, born_us))
+        self.inbox.append(interface.RegistryUpdate("whole", tuple(entries)))
         self.xds_server.addresses = {
             node.id: tables.Address(node.address, node.zone) for node in source.told.node
         }
@@ -103,7 +103,7 @@
 
     def tell(self, event: interface.Event) -> None:
         """Adds an event to the next turn. Load events are dropped while too many events wait."""
-        if len(self.inbox) > 20_000 and isinstance(event, interface.Met | interface.Came):
+        if len(self.inbox) > 20_000 and isinstance(event, interface.ServerReport | interface.RequestReport):
             self.counters["host.events_left_out"] += 1
             return
         self.inbox.append(event)
@@ -188,7 +188,7 @@
                 await self.has_events.wait()
         except TimeoutError:
             pass
-        await asyncio.sleep(self.deployment.turn_every_us / 1e6)
+        await asyncio.sleep(self.deployment.turn_interval_us / 1e6)
 
     def decide(self) -> tuple[list[interface.Event], list[interface.Order]]:
         """Takes a turn of the controller; returns its events and its orders."""
@@ -197,7 +197,7 @@
         events, self.inbox = self.inbox, []
         for token in [token for token, at in self.timers.items() if at <= now]:
             del self.timers[token]
-            events.append(interface.Woken(token))
+            events.append(interface.TimerFired(token))
         self.counters["host.turns"] += 1
         return events, self.controller.turn(now, events)
 
@@ -235,12 +235,12 @@
         """Carries out the orders that are not for clients."""
         for order in orders:
             match order:
-                case interface.Log(text):
+                case interface.LogMessage(text):
                     self.log.say("mode", text=text)
-                case interface.Wake(token, at_us):
+                case interface.SetTimer(token, at_us):
                     self.timers[token] = at_us
-                case interface.Mark(number):
-                    self.tell(interface.Answered(STORE_PROXY, number, 0))
+                case interface.Barrier(number):
+                    self.tell(interface.BarrierAck(STORE_PROXY, number, 0))
                 case interface.Probe(backend):
                     node = self.nodes.get(str(backend))
                     self.probes.start(backend, node.address if node is not None else None)
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -69,9 +69,9 @@
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
         self.cache = ResourceCache()
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
+        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
         resources.put_static_resources(
-            self.cache, deployment.slices, max(1, deployment.usual_retry), limits.ttl_us
+            self.cache, deployment.slices, max(1, deployment.default_retry), limits.ttl_us
         )
         self.write_routes = WriteRoutes(self.cache)
         self.proxy_numbers = ProxyNumbers(first_number, limits.lease_us)
@@ -307,15 +307,15 @@
         if step.left is not None:
             until = self.now() + step.left_delay_us + self.limits.lease_us
             self.departed.append((until, step.left_acked_turn))
-            left = interface.Left(step.left)
+            left = interface.ProxyLeft(step.left)
             if step.left_delay_us:
                 asyncio.get_running_loop().call_later(step.left_delay_us / 1e6, self.event_sink.tell, left)
             else:
                 self.event_sink.tell(left)
         if step.joined is not None:
-            self.event_sink.tell(interface.Joined(step.joined, True, client.zone, None))
+            self.event_sink.tell(interface.ProxyJoined(step.joined, True, client.zone, None))
         for number, barrier, took_us in step.acked_barriers:
-            self.event_sink.tell(interface.Answered(number, barrier, took_us))
+            self.event_sink.tell(interface.BarrierAck(number, barrier, took_us))
 
     def handle_message(self, client: Client, message: Message) -> None:
         """Handles a client's message: an answer to the last response of a kind, and its subscription."""
@@ -376,7 +376,7 @@
                         send_all_clusters=True, report_endpoint_granularity=True
                     )
                     answer.load_reporting_interval.CopyFrom(
-                        codec.duration(self.deployment.report_every_us or 1_000_000)
+                        codec.duration(self.deployment.report_interval_us or 1_000_000)
                     )
                     await stream.send_message(answer)
                 nodes = {address.address: node for node, address in self.addresses.items()}
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from configurations import CONFIG, SETTINGS, written
+from configurations import CONFIG, SETTINGS, write_config
 from fleet import SECOND
 
 from lapispass import deployment as settings
@@ -23,7 +23,7 @@
 
 
 def test_a_start_is_read(file: Path) -> None:
-    launch = Launch.read({**written(file, CONFIG), "LB_LISTEN": "127.0.0.9:5"})
+    launch = Launch.read({**write_config(file, CONFIG), "LB_LISTEN": "127.0.0.9:5"})
     assert (launch.listen, launch.registry, launch.relay, launch.seed) == (
         "127.0.0.9:5",
         "127.0.0.1:1",
@@ -32,8 +32,8 @@
     )
     # Where the settings say that changes come unasked, nobody ever told it the list: on sockets one must ask.
     assert (
-        launch.told == replace(settings.read(SETTINGS), asks_for_list=True)
-        and launch.told.turn_every_us == 7000
+        launch.told == replace(settings.read(SETTINGS), subscribes_to_registry=True)
+        and launch.told.turn_interval_us == 7000
     )
     assert launch.known.entries[0].backend == "s-1" and launch.limits.connections == 512
     assert Limits.within(256).connections == 128 and Limits.within(8192).connections == 512
@@ -79,8 +79,8 @@
         (put("grades.0.worth", float("inf")), "grades.0..worth"),
         (put("grades.0.hard-limit-us", -1), "grades.0..hard-limit-us"),
         *((put("grades", odd), "grades") for odd in ([], {"a": 1})),
-        (put("grades", ["x"]), "grades.0.: no object"),
-        (put("grades", SETTINGS["grades"] * 2), "grades.1..name: 'pay' stands there twice"),
+        (put("grades", ["x"]), "grades.0.: not an object"),
+        (put("grades", SETTINGS["grades"] * 2), "grades.1..name: 'pay' is listed twice"),
         (put("extra.class-writes", [True, False]), "extra.class-writes: 2 values for 1 classes"),
         (put("extra.class-writes", ["yes"]), "extra.class-writes"),
         *((put("extra.lease-us", odd), "extra.lease-us") for odd in (1e300, float("nan"), True)),
@@ -88,8 +88,8 @@
         (put("extra.data-plane-size", 10**400), "extra.data-plane-size"),
         (put("extra.one-owner", True), "extra.lease-us: missing"),
         (put("extra.usual-how", 9), "extra.usual-how"),
-        (put("extra", []), "extra: no object"),
-        (put("zones", ["a", "a"]), "zones: 'a' stands there twice"),
+        (put("extra", []), "extra: not an object"),
+        (put("zones", ["a", "a"]), "zones: 'a' is listed twice"),
         (put("zones", [1]), "zones"),
         (put("rules.cold-us", "x" * 10_000), "rules.cold-us"),
         (put("limits.probes", 7), "limits.probes"),
@@ -100,7 +100,7 @@
 )
 def test_a_bad_start_is_named_by_its_field_in_one_line(file: Path, change: dict, named: str) -> None:
     with pytest.raises(BadStart, match=named) as error:
-        Launch.read(written(file, {**CONFIG, **change}))
+        Launch.read(write_config(file, {**CONFIG, **change}))
     assert "\n" not in str(error.value) and len(str(error.value)) < 400
 
 
@@ -119,7 +119,7 @@
     def repeats(effect: str | None, writes: bool) -> bool:
         grade = {**SETTINGS["grades"][0], **({"effect": effect} if effect else {})}
         told = settings.read({"grades": [grade], "extra": {"class-writes": [writes]}})
-        return told.classes[0].repeats
+        return told.classes[0].repeatable
 
     assert repeats("free", False) and repeats(None, False) and not repeats(None, True)
     assert not any(repeats(effect, False) for effect in ("guarded", "single_shot", "of a later version"))
@@ -142,9 +142,9 @@
     second.turn(
         SECOND,
         [
-            interface.Listed("whole", (interface.Entry("s-1", "", "ready", 1.0, None),)),
-            interface.Joined(0, True, "", 1.0),
-            interface.Given(1, True),
+            interface.RegistryUpdate("whole", (interface.RegistryEntry("s-1", "", "ready", 1.0, None),)),
+            interface.ProxyJoined(0, True, "", 1.0),
+            interface.SliceGrant(1, True),
         ],
     )
     assert {name: repr(value) for name, value in vars(first.rules).items()} == before
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -336,14 +336,20 @@
                     endpoint.load_metric_stats.add(metric_name="ms", total_metric_value=70.0)
                 await stream.send_message(report)
                 await until(
-                    lambda: sum(isinstance(event, interface.Met | interface.Came) for event in events) >= 2
+                    lambda: (
+                        sum(
+                            isinstance(event, interface.ServerReport | interface.RequestReport)
+                            for event in events
+                        )
+                        >= 2
+                    )
                 )
                 await stream.end()
             channel.close()
-            results = [event for event in events if isinstance(event, interface.Met)]
-            requests = [event for event in events if isinstance(event, interface.Came)]
-            assert results == [interface.Met("n0", "west", 1, 8, 10_000, 1_000_000, None)]
-            assert requests == [interface.Came(3, "trade-order", 10, 1, 1_000_000)]
+            results = [event for event in events if isinstance(event, interface.ServerReport)]
+            requests = [event for event in events if isinstance(event, interface.RequestReport)]
+            assert results == [interface.ServerReport("n0", "west", 1, 8, 10_000, 1_000_000, None)]
+            assert requests == [interface.RequestReport(3, "trade-order", 10, 1, 1_000_000)]
 
     play(test())
 
