--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -190,9 +190,8 @@
                 and lds.answer_time_us > self.limits.delivery_margin_us
                 and now > lds.sent_at + self.limits.lease_us
             ):
-                lds.change_subscription(
-                    [READS], []
-                )  # sent again, to measure whether the client reads promptly by now
+                # The listener is sent again, to measure whether the client reads promptly by now.
+                lds.change_subscription([READS], [])
             # The answer time of a listener shows how late the client reads; a late reader may not write.
             prompt = (
                 lds.settled and READS in lds.acked and lds.answer_time_us <= self.limits.delivery_margin_us
--- a/lapispass/core/versions.py
+++ b/lapispass/core/versions.py
@@ -19,16 +19,10 @@
 
 from lapispass.core.facts import NEVER
 
-KINDS = (
-    "cds",
-    "eds",
-    "lds",
-    "rds",
-)  # the order in which additions are sent; removals are sent in the opposite order
-FULL_STATE_KINDS = (
-    "cds",
-    "lds",
-)  # a state-of-the-world response contains all resources of these kinds; clients remove any others
+# Additions are sent in this order of kinds, removals in the opposite order.
+KINDS = ("cds", "eds", "lds", "rds")
+# A state-of-the-world response contains all resources of these kinds; clients remove any others.
+FULL_STATE_KINDS = ("cds", "lds")
 
 
 class VersionedResource(NamedTuple):
@@ -215,9 +209,8 @@
             if item is not None:
                 if item.version != last and item.version != self.nacked.get(name):
                     items[name] = item
-                elif (
-                    self.acked.get(name) == item.version
-                ):  # it has changed and changed back: the client holds this version already
+                elif self.acked.get(name) == item.version:
+                    # It has changed and changed back: the client holds this version already.
                     self.unacked_turns.pop(name, None)
                     self.unacked_at.pop(name, None)
                 done.append(name)
@@ -290,9 +283,8 @@
             self.acked[name] = item.version
             self.nacked.pop(name, None)
             current = self.cache.by_kind[self.kind].get(name)
-            if (
-                current is not None and current.version == item.version
-            ):  # a later turn may have made this version current again: the content is the same
+            if current is not None and current.version == item.version:
+                # A later turn may have made this version current again; the content is the same.
                 self.unacked_turns.pop(name, None)
                 self.unacked_at.pop(name, None)
             elif name in self.unacked_turns:
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -134,9 +134,8 @@
             ):
                 raise BadFile([source.at("alone.slices", "a change needs a restart")])
             if self.xds_server.tls is not None:
-                load_tls_keys(
-                    tls_context(source) or self.xds_server.tls, source
-                )  # a new context validates the files before the one in use is changed
+                # A new context validates the files before the context in use is changed.
+                load_tls_keys(tls_context(source) or self.xds_server.tls, source)
                 load_tls_keys(self.xds_server.tls, source)
             self.load_nodes(source)
             self.log.say("operator file read again", nodes=len(self.nodes))
@@ -249,7 +248,7 @@
 
 
 async def serve(path: Path, seed: int, host_type: type[Host]) -> None:
-    """Runs a controller process until it is told to stop."""
+    """Runs a controller process until a signal stops it."""
     host = host_type(operator.read_at_start(path), seed)
     process.on_signals(host.stop, host.print_counters, host.read_again)
     await host.run()
--- a/lapispass/xds/platform_server.py
+++ b/lapispass/xds/platform_server.py
@@ -30,9 +30,7 @@
         Addresses come from the registry; a node that is no longer listed there is no endpoint any more.
         """
         if any(isinstance(event, interface.RegistryUpdate) for event in events):
-            zones = {
-                str(standing.backend): standing.zone for standing in self.service.controller.server_statuses()
-            }
+            zones = {str(status.backend): status.zone for status in self.service.controller.server_statuses()}
             self.xds_server.addresses = {
                 str(node): tables.Address(address, zones.get(str(node), ""))
                 for node, address in self.service.registry.addresses.items()
