--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,9 +44,9 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import Client, Terms
-from lapispass.core.facts import Bounds, ConnectionClass, DrainTerms, NodeView
-from lapispass.core.keeper import Counted, Keeper
+from lapispass.core.connection_controller import Counted, Keeper
 from lapispass.core.plans import Version
+from lapispass.core.shared_types import Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.takeover import Takeover
 from lapispass.core.versions import KINDS, Shelf
 from lapispass.gate import wire
--- a/benchmarks/held_at_size.py
+++ b/benchmarks/held_at_size.py
@@ -18,9 +18,9 @@
 
 import numpy as np
 
-from lapispass.core.facts import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
-from lapispass.core.keeper import Counted, Keeper
+from lapispass.core.connection_controller import Counted, Keeper
 from lapispass.core.plans import Ceiling, Curve, Plan, Version
+from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.steering import Go, Steering
 from lapispass.core.tables import Address, SetLine, SetNode, SetOut
 
--- a/lapispass/core/admission.py
+++ b/lapispass/core/admission.py
@@ -14,8 +14,8 @@
 
 import xxhash
 
-from lapispass.core.facts import NEVER, SECOND, Bounds, NodeId, NodeView
 from lapispass.core.limits import Rate, Returns
+from lapispass.core.shared_types import NEVER, SECOND, Bounds, NodeId, NodeView
 
 EPOCH_US = 10 * SECOND  # for so long the same gates are served, where not all can be
 
--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core.facts import NEVER, SECOND
 from lapispass.core.limits import Rate, Returns
+from lapispass.core.shared_types import NEVER, SECOND
 from lapispass.core.versions import KINDS, Shelf, Update, Watch
 
 READS = "reads"
--- a/lapispass/core/keeper.py
+++ b/lapispass/core/connection_controller.py
@@ -14,8 +14,8 @@
 from lapispass.core import drain
 from lapispass.core.admission import Allotment, Demand, Intake
 from lapispass.core.costs import Costs
-from lapispass.core.facts import SECOND, Bounds, ConnectionClass, DrainTerms, NodeId, NodeView
 from lapispass.core.plans import NONE, Ceiling, Curve, Plan, Version
+from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeId, NodeView
 
 REPLAN_US = 1 * SECOND  # where nothing has changed but counts and warmth
 SETTLE_US = 3 * SECOND  # after a start: probes may still be out
--- a/lapispass/core/connections.py
+++ b/lapispass/core/connections.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from lapispass.core.facts import ConnectionClass, NodeId
+from lapispass.core.shared_types import ConnectionClass, NodeId
 
 
 @dataclass(slots=True, eq=False)
--- a/lapispass/core/drain.py
+++ b/lapispass/core/drain.py
@@ -18,8 +18,8 @@
 import xxhash
 
 from lapispass.core.admission import Intake
-from lapispass.core.facts import SECOND, NodeId, NodeView
 from lapispass.core.plans import Ceiling, Curve
+from lapispass.core.shared_types import SECOND, NodeId, NodeView
 
 SLOTS = 120
 DRAIN_PART = 0.7  # of what destinations take; the rest is for screens that come by themselves
--- a/lapispass/core/limits.py
+++ b/lapispass/core/limits.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from lapispass.core.facts import NEVER, SECOND
+from lapispass.core.shared_types import NEVER, SECOND
 
 
 @dataclass(slots=True)
--- a/lapispass/core/membership.py
+++ b/lapispass/core/membership.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 
 DRIFT = 0.01  # two steady clocks differ by this part at most
 
--- a/lapispass/core/plans.py
+++ b/lapispass/core/plans.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from lapispass.core.admission import Allotment
-from lapispass.core.facts import NodeId
+from lapispass.core.shared_types import NodeId
 
 
 class Version(NamedTuple):
--- a/lapispass/core/leaving.py
+++ b/lapispass/core/release_policy.py
@@ -7,8 +7,8 @@
 from typing import NamedTuple
 
 from lapispass.core.connections import Held
-from lapispass.core.facts import SECOND
 from lapispass.core.plans import Ceiling
+from lapispass.core.shared_types import SECOND
 
 CATCH_UP_US = 2 * SECOND  # a plan that comes late is caught up within this, where the deadline leaves it
 
--- a/lapispass/core/steering.py
+++ b/lapispass/core/steering.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core import leaving, tables
+from lapispass.core import release_policy, tables
 from lapispass.core.admission import Admission, Refused
 from lapispass.core.connections import Book, Held
-from lapispass.core.facts import NEVER, ConnectionClass, NodeId
-from lapispass.core.fence import Fences, Lease
 from lapispass.core.limits import Returns
 from lapispass.core.plans import NONE, Plan, Version
+from lapispass.core.shared_types import NEVER, ConnectionClass, NodeId
+from lapispass.core.write_barriers import Fences, Lease
 
 DRAWS_MOST = 12  # before all nodes are looked at
 STRAYED_MOST = 500  # looked at in one tick
@@ -307,26 +307,26 @@
         self.returns.set(plan.returns_per_s, plan.come_back_least_us, plan.come_back_most_us)
         return True
 
-    def tick(self, now: int, tick_us: int) -> list[leaving.Release]:
+    def tick(self, now: int, tick_us: int) -> list[release_policy.Release]:
         """Who goes now: at nodes that leave as many as their ceiling asks; a bound one whose slice has
         moved on."""
-        releases: list[leaving.Release] = []
+        releases: list[release_policy.Release] = []
         for node, ceiling in self.plan.ceilings.items():
             standing = self.book.count(node)
-            count = leaving.due(ceiling, now, tick_us, standing, self.going.get(node, 0))
+            count = release_policy.due(ceiling, now, tick_us, standing, self.going.get(node, 0))
             if count:
                 last = now + 2 * tick_us >= ceiling.deadline_us
-                releases += leaving.choose(self.book.at(node), count, now, last)
+                releases += release_policy.choose(self.book.at(node), count, now, last)
         return releases + self.follow_slices(now)
 
-    def follow_slices(self, now: int) -> list[leaving.Release]:
+    def follow_slices(self, now: int) -> list[release_policy.Release]:
         """Bound connections whose slice has a new owner go after it, as fast as that one takes them.
 
         Where their node leaves anyway its ceiling says when; but one whose screen wants to write does not
         wait for that, since it is cut off already. Looks at so many a tick that a large handover cannot
         hold up the gate.
         """
-        releases: list[leaving.Release] = []
+        releases: list[release_policy.Release] = []
         wanted: dict[NodeId, int] = {}
         for number in list(self.strayed)[:STRAYED_MOST]:
             held = self.book.by_number.get(number)
@@ -347,7 +347,7 @@
                 continue
             if not movable:  # its screen comes back soon: counted where it will come
                 self.admission.take(now, owner, self.held_at(owner))
-            releases.append(leaving.Release(number, "move" if movable else "close"))
+            releases.append(release_policy.Release(number, "move" if movable else "close"))
         for number in [release.number for release in releases]:  # the others have their turn first next time
             self.strayed[number] = self.strayed.pop(number)
         return releases
--- a/lapispass/core/picture.py
+++ b/lapispass/core/table_snapshot.py
@@ -7,7 +7,7 @@
 
 from lapispass import interface
 from lapispass.core import tables
-from lapispass.core.facts import NodeId
+from lapispass.core.shared_types import NodeId
 
 
 class Picture:
--- a/lapispass/core/tables.py
+++ b/lapispass/core/tables.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from lapispass.core.facts import NodeId
+from lapispass.core.shared_types import NodeId
 
 
 class Address(NamedTuple):
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from lapispass.core import ownership
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 
 
 class Record(NamedTuple):
--- a/lapispass/core/versions.py
+++ b/lapispass/core/versions.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 
 KINDS = (
     "cds",
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -10,10 +10,10 @@
 
 from lapispass import interface
 from lapispass.core import tables
-from lapispass.core.facts import NodeView
-from lapispass.core.keeper import Keeper
-from lapispass.core.picture import Picture
+from lapispass.core.connection_controller import Keeper
 from lapispass.core.plans import Plan, Version
+from lapispass.core.shared_types import NodeView
+from lapispass.core.table_snapshot import Picture
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
 from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time, streams
--- a/lapispass/gate/frames.py
+++ b/lapispass/gate/frames.py
@@ -13,7 +13,7 @@
 from wsproto.events import CloseConnection, Event, Message, Ping, Pong
 from wsproto.utilities import LocalProtocolError
 
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.limits import Limits
 
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -10,7 +10,7 @@
 import h11
 
 from lapispass.core.admission import Refused
-from lapispass.core.facts import ConnectionClass
+from lapispass.core.shared_types import ConnectionClass
 from lapispass.core.steering import TRIES_MOST, Go, Unfit
 from lapispass.gate import upgrade
 from lapispass.gate.evented_reader import EventedReader
--- a/lapispass/gate/lone.py
+++ b/lapispass/gate/lone.py
@@ -4,9 +4,9 @@
 from __future__ import annotations
 
 from lapispass.core import tables
-from lapispass.core.facts import NodeView
-from lapispass.core.keeper import Counted, Keeper
+from lapispass.core.connection_controller import Counted, Keeper
 from lapispass.core.plans import NONE
+from lapispass.core.shared_types import NodeView
 from lapispass.core.start_times import local_start
 from lapispass.gate.host import TableHost
 from lapispass.operator import read as operator
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from lapispass.core.connections import Held
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 from lapispass.core.steering import Go
 from lapispass.gate.frames import Side
 from lapispass.gate.limits import Limits
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from lapispass.core import tables
-from lapispass.core.facts import DrainTerms
 from lapispass.core.plans import Plan
+from lapispass.core.shared_types import DrainTerms
 from lapispass.core.steering import Steering
 from lapispass.gate.evented_reader import EventedProtocol, EventedReader
 from lapispass.gate.handshake import Handshake
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -10,7 +10,7 @@
 
 from lapispass.core.admission import Refused
 from lapispass.core.connections import Held
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 from lapispass.gate import close_codes
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -16,7 +16,7 @@
 
 from lapispass.core import tables
 from lapispass.core.admission import Allotment
-from lapispass.core.keeper import Counted
+from lapispass.core.connection_controller import Counted
 from lapispass.core.plans import Ceiling, Curve, Plan, Version
 
 PROTOCOL = 1
--- a/lapispass/operator/read.py
+++ b/lapispass/operator/read.py
@@ -10,7 +10,7 @@
 from google.protobuf import text_format
 
 from lapispass.core import momentary
-from lapispass.core.facts import Bounds, ConnectionClass, DrainTerms
+from lapispass.core.shared_types import Bounds, ConnectionClass, DrainTerms
 from lapispass.interface import Deployment, VisitClass
 from lapispass.operator.operator_pb2 import Gate, Node, Operator
 from lapispass.operator.places import lines_of
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -18,7 +18,7 @@
 from lapispass import interface
 from lapispass.core import tables
 from lapispass.core.membership import Members
-from lapispass.core.picture import Picture
+from lapispass.core.table_snapshot import Picture
 from lapispass.core.takeover import Claim, Record, Takeover
 from lapispass.operator.read import Source
 from lapispass.peers import records
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -20,7 +20,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import TTL_FEATURE, Client, Doorway, Numbers, Step, Terms
-from lapispass.core.picture import Picture
+from lapispass.core.table_snapshot import Picture
 from lapispass.core.versions import Shelf, Update
 from lapispass.net import log
 from lapispass.net.counters import Counters
--- a/tests/support_core.py
+++ b/tests/support_core.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from lapispass.core.admission import Allotment
-from lapispass.core.facts import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
-from lapispass.core.keeper import Counted, Keeper
+from lapispass.core.connection_controller import Counted, Keeper
 from lapispass.core.plans import NONE, Ceiling, Curve, Plan, Version
+from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.steering import Go, Steering
 from lapispass.core.tables import Address, SetLine, SetNode, slice_of
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -12,8 +12,8 @@
 
 from lapispass.core.admission import Admission, Demand, Intake, whole_parts
 from lapispass.core.costs import Costs
-from lapispass.core.facts import NEVER, SECOND, Bounds
 from lapispass.core.limits import Rate, Returns
+from lapispass.core.shared_types import NEVER, SECOND, Bounds
 
 
 @given(some.floats(0.5, 500), some.integers(1, 30), some.lists(some.integers(0, 3 * SECOND), max_size=80))
--- a/tests/test_keeper.py
+++ b/tests/test_connection_controller.py
@@ -15,9 +15,9 @@
 from lapispass.controller import Controller
 from lapispass.core import drain
 from lapispass.core.admission import Intake
-from lapispass.core.facts import SECOND, Bounds
-from lapispass.core.picture import Picture
 from lapispass.core.plans import NONE, Version
+from lapispass.core.shared_types import SECOND, Bounds
+from lapispass.core.table_snapshot import Picture
 from lapispass.core.tables import Address, SetLine, SetNode, SetOut, SetShare
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -22,8 +22,8 @@
 from support_gate import until
 
 from lapispass.core import ownership
-from lapispass.core.facts import NEVER, SECOND
 from lapispass.core.membership import Members, Session
+from lapispass.core.shared_types import NEVER, SECOND
 from lapispass.core.tables import slice_of
 from lapispass.core.takeover import FRESH, Record, Takeover
 from lapispass.operator import read as operator
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as some
 from support_core import BOARD, NOW, ROOMY, TILL, falling, key_of, opened, steering
 
-from lapispass.core import leaving
+from lapispass.core import release_policy
 from lapispass.core.admission import Allotment, Refused
-from lapispass.core.facts import SECOND
-from lapispass.core.fence import Fences, Lease
 from lapispass.core.plans import Plan, Version
+from lapispass.core.shared_types import SECOND
 from lapispass.core.steering import Go, Unfit
 from lapispass.core.tables import Asked, SetLine, SetOut, SetShare, Tables, slice_of
+from lapispass.core.write_barriers import Fences, Lease
 
 
 @given(
@@ -284,10 +284,10 @@
     )
     quiet.last_us, busy.last_us, inside.last_us = NOW - 60 * SECOND, NOW, 0
     blocked.waiting, inside.inside = True, True
-    chosen = leaving.choose(made.book.at("n0"), 4, NOW, False)
+    chosen = release_policy.choose(made.book.at("n0"), 4, NOW, False)
     assert [(r.number, r.how) for r in chosen] == [
         (blocked.number, "close"),
         (quiet.number, "move"),
         (busy.number, "move"),
     ]
-    assert (inside.number, "close") in leaving.choose(made.book.at("n0"), 4, NOW, True)
+    assert (inside.number, "close") in release_policy.choose(made.book.at("n0"), 4, NOW, True)
--- a/tests/test_write_routes.py
+++ b/tests/test_write_routes.py
@@ -8,7 +8,7 @@
 
 from lapispass.core import resources
 from lapispass.core.clients import WRITES, Client, Numbers, Terms
-from lapispass.core.facts import SECOND
+from lapispass.core.shared_types import SECOND
 from lapispass.core.versions import Shelf, Update
 from lapispass.xds.write_routes import WriteRoutes
 
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -17,7 +17,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import WRITES, Client, Doorway, Numbers, Terms
-from lapispass.core.facts import SECOND
+from lapispass.core.shared_types import SECOND
 from lapispass.core.versions import Shelf, Watch
 from lapispass.store.assignments import Assignments, Spoilt
 
