--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -44,7 +44,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import Client, Terms
-from lapispass.core.connection_controller import Counted, Keeper
+from lapispass.core.connection_controller import ConnectionController, ReportedCounts
 from lapispass.core.plans import Version
 from lapispass.core.shared_types import Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.takeover import Takeover
@@ -474,11 +474,14 @@
 
     def looking(count: int) -> Callable[[], None]:
         kinds = [ConnectionClass("board", "/board", False, True, 1.0, 0.05)]
-        keeper, clock = Keeper(kinds, Bounds(), DrainTerms(), 0), iter(range(100 * SECOND, 1 << 60, LOOK_US))
+        keeper, clock = (
+            ConnectionController(kinds, Bounds(), DrainTerms(), 0),
+            iter(range(100 * SECOND, 1 << 60, LOOK_US)),
+        )
         views = [NodeView(name, "z01", "ready", 1.0, 0) for name in names(count)]
         keeper.joined(next(clock), "g0", "z01", nothing, {})
         keeper.told(
-            next(clock), "g0", 1, {name: {"board": Counted(30, 1, 20, 4000)} for name in names(count)}
+            next(clock), "g0", 1, {name: {"board": ReportedCounts(30, 1, 20, 4000)} for name in names(count)}
         )
 
         def ten() -> None:
@@ -528,7 +531,7 @@
     shelf, stands = Shelf(), tables.Tables(slices)
     resources.fixed(shelf, slices, 2, 3 * SECOND)
     stands.nodes = {f"s-{n}": tables.Address(f"10.0.{n >> 8}.{n & 255}:3000", "z01") for n in range(slices)}
-    changes: list[tables.Change] = [tables.SetLine(number, f"s-{number}") for number in range(slices)]
+    changes: list[tables.TableChange] = [tables.SetOwner(number, f"s-{number}") for number in range(slices)]
     for change in changes:
         stands.apply(change)
     resources.follow(shelf, stands, changes, 0)
--- a/benchmarks/held_at_size.py
+++ b/benchmarks/held_at_size.py
@@ -18,11 +18,11 @@
 
 import numpy as np
 
-from lapispass.core.connection_controller import Counted, Keeper
+from lapispass.core.connection_controller import ConnectionController, ReportedCounts
 from lapispass.core.plans import Ceiling, Curve, Plan, Version
 from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
-from lapispass.core.steering import Go, Steering
-from lapispass.core.tables import Address, SetLine, SetNode, SetOut
+from lapispass.core.steering import Admitted, Steering
+from lapispass.core.tables import Address, SetNode, SetOwner, SetWithdrawn
 
 TICK = SECOND // 10
 KINDS = (
@@ -83,16 +83,16 @@
     owners = {number: names[number % told.nodes] for number in range(slices)}
     for gate in gates:
         made[gate].apply([SetNode(name, Address("x:1", "")) for name in names])
-        made[gate].apply([SetLine(number, owner) for number, owner in owners.items()])
+        made[gate].apply([SetOwner(number, owner) for number, owner in owners.items()])
     warm = [name for name in names if not nodes[name].view.born_us]
     for place in range(told.connections):  # what stands when the day begins
         steering = made[gates[place % told.gates]]
         kind = KINDS[int(chance.random() < 0.2)]
         name = warm[place % len(warm)]
-        held = steering.stand(now, kind, Go(name, None), None)
+        held = steering.stand(now, kind, Admitted(name, None), None)
         held.last_us = now - int(chance.integers(0, 60 * SECOND))
         nodes[name].held += 1
-    keeper = Keeper(KINDS, bounds, terms, now - 10 * SECOND)
+    keeper = ConnectionController(KINDS, bounds, terms, now - 10 * SECOND)
     serial = 0
 
     def report(now: int) -> None:
@@ -100,7 +100,7 @@
         serial += 1
         for gate in gates:
             rows = {
-                node: {kind: Counted(row.held, row.opened) for kind, row in by_class.items()}
+                node: {kind: ReportedCounts(row.held, row.opened) for kind, row in by_class.items()}
                 for node, by_class in made[gate].book.report().items()
             }
             keeper.told(now, gate, serial, rows)
@@ -117,7 +117,7 @@
     for name in leaving:
         nodes[name].view.state = "out"
     for gate in gates:
-        made[gate].apply([SetOut(name, True) for name in leaving])
+        made[gate].apply([SetWithdrawn(name, True) for name in leaving])
     returning: list[tuple[int, int, str]] = []
     order, refusals, most_closed, moved, closed, back = 0, 0, 0, 0, 0, 0
     waits: list[int] = []
@@ -148,7 +148,7 @@
                 this_tick += 1
                 nodes[held.node].held -= 1
                 target = steering.target(now, held) if release.how == "move" and how == "plan" else None
-                if isinstance(target, Go):
+                if isinstance(target, Admitted):
                     nodes[target.node].open(now, bounds)
                     steering.moved(now, held, target)
                     moved += 1
@@ -172,8 +172,8 @@
             if how == "plan":
                 go = steering.place(now, ())
             else:
-                go = Go(stays[int(chance.integers(len(stays)))], None) if stays else None
-            if not isinstance(go, Go):
+                go = Admitted(stays[int(chance.integers(len(stays)))], None) if stays else None
+            if not isinstance(go, Admitted):
                 refusals += 1
                 order += 1
                 wait = go.retry_after_us if go is not None else SECOND
--- a/benchmarks/xds_streams.py
+++ b/benchmarks/xds_streams.py
@@ -184,10 +184,10 @@
     resources.fixed(shelf, told.slices, 1, terms.ttl_us)
     stands = tables.Tables(told.slices)
     stands.nodes = {f"n{n}": tables.Address(f"127.0.0.1:{9000 + n}", "east") for n in range(100)}
-    changes: list[tables.Change] = []
+    changes: list[tables.TableChange] = []
     for number in range(told.slices):
-        stands.apply(tables.SetLine(number, f"n{number % 100}"))
-        changes.append(tables.SetLine(number, f"n{number % 100}"))
+        stands.apply(tables.SetOwner(number, f"n{number % 100}"))
+        changes.append(tables.SetOwner(number, f"n{number % 100}"))
     resources.follow(shelf, stands, changes, 0)
     clients = []
     mine = told.names  # each client knows so many slices
@@ -208,7 +208,7 @@
     for turn in range(1, told.turns + 1):
         node = f"n{turn % 100}"
         moved = [number for number, owner in stands.owners.items() if owner == node][:10]
-        changes = [tables.SetLine(number, None if turn % 2 else f"n{(turn + 50) % 100}") for number in moved]
+        changes = [tables.SetOwner(number, None if turn % 2 else f"n{(turn + 50) % 100}") for number in moved]
         for change in changes:
             stands.apply(change)
         marks.append((turn, turn, now))
--- a/lapispass/core/admission.py
+++ b/lapispass/core/admission.py
@@ -14,10 +14,10 @@
 
 import xxhash
 
-from lapispass.core.limits import Rate, Returns
+from lapispass.core.limits import RateLimiter, ReturnSlots
 from lapispass.core.shared_types import NEVER, SECOND, Bounds, NodeId, NodeView
 
-EPOCH_US = 10 * SECOND  # for so long the same gates are served, where not all can be
+ROTATION_US = 10 * SECOND  # for so long the same gates are served, where not all can be
 
 
 class Allotment(NamedTuple):
@@ -38,12 +38,12 @@
 class Admission:
     """The gate's own bounds and its allotments."""
 
-    def __init__(self, connections: int, new_per_s: float, burst: int, returns: Returns) -> None:
+    def __init__(self, connections: int, new_per_s: float, burst: int, returns: ReturnSlots) -> None:
         self.connections = connections
-        self.rate = Rate(new_per_s, max(1, burst))
+        self.rate = RateLimiter(new_per_s, max(1, burst))
         self.returns = returns
         self.allotted: dict[NodeId, Allotment] = {}
-        self.rates: dict[NodeId, Rate] = {}
+        self.rates: dict[NodeId, RateLimiter] = {}
 
     def allot(self, now: int, allotted: Mapping[NodeId, Allotment]) -> None:
         """New allotments; of a node that is not named any more nothing is left."""
@@ -53,7 +53,7 @@
             if node in self.rates:
                 self.rates[node].set(now, part.new_per_s, part.burst)
             else:
-                self.rates[node] = Rate(part.new_per_s, max(1, part.burst))
+                self.rates[node] = RateLimiter(part.new_per_s, max(1, part.burst))
         self.allotted = dict(allotted)
 
     def gate_full(self, now: int, held: int) -> Refused | None:
@@ -154,7 +154,7 @@
         """
         if len(demands) <= most:
             return sorted(demands)
-        epoch = now // EPOCH_US
+        epoch = now // ROTATION_US
 
         def score(gate: str) -> float:
             drawn = (xxhash.xxh64_intdigest(f"{gate} {node} {epoch}".encode()) + 1) / (1 << 64)
--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core.limits import Rate, Returns
+from lapispass.core.limits import RateLimiter, ReturnSlots
 from lapispass.core.shared_types import NEVER, SECOND
 from lapispass.core.versions import KINDS, Shelf, Update, Watch
 
@@ -256,8 +256,8 @@
     """Who is let in: thousands may come back at once. What is refused is told when to come."""
 
     def __init__(self, clients: int, per_s: float, burst: int, seed: int) -> None:
-        self.clients, self.rate = clients, Rate(per_s, burst)
-        self.returns = Returns(per_s, SECOND // 10, 30 * SECOND, seed)
+        self.clients, self.rate = clients, RateLimiter(per_s, burst)
+        self.returns = ReturnSlots(per_s, SECOND // 10, 30 * SECOND, seed)
 
     def ask(self, now: int, inside: int) -> int:
         """0 for whoever may come in; else when to come back, us from now."""
--- a/lapispass/core/connection_controller.py
+++ b/lapispass/core/connection_controller.py
@@ -13,18 +13,22 @@
 
 from lapispass.core import drain
 from lapispass.core.admission import Allotment, Demand, Intake
-from lapispass.core.costs import Costs
-from lapispass.core.plans import NONE, Ceiling, Curve, Plan, Version
+from lapispass.core.costs import CostEstimator
+from lapispass.core.plans import NO_VERSION, Ceiling, Curve, Plan, Version
 from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeId, NodeView
 
 REPLAN_US = 1 * SECOND  # where nothing has changed but counts and warmth
 SETTLE_US = 3 * SECOND  # after a start: probes may still be out
-FORGET_US = 5 * SECOND  # what a gate held that is gone counts for so long; its screens are on their way back
-RETURN_PART = 0.5  # of what nodes take in: screens that were told when to come back; the rest comes by itself
+GATE_RETENTION_US = (
+    5 * SECOND
+)  # what a gate held that is gone counts for so long; its screens are on their way back
+RETURN_SHARE = (
+    0.5  # of what nodes take in: screens that were told when to come back; the rest comes by itself
+)
 
 
 @dataclass(slots=True)
-class Counted:
+class ReportedCounts:
     """What a gate tells of one class at one node."""
 
     held: int
@@ -34,7 +38,7 @@
 
 
 @dataclass
-class GateBook:
+class GateState:
     """One gate, as last reported."""
 
     name: str
@@ -43,17 +47,17 @@
     left_at: int = 0
     heard_at: int = 0
     serial: int = -1
-    rows: dict[NodeId, dict[str, Counted]] = field(default_factory=dict)
+    rows: dict[NodeId, dict[str, ReportedCounts]] = field(default_factory=dict)
     arriving: dict[NodeId, float] = field(default_factory=dict)  # new ones a second, faded
     refused: float = 0.0
-    sent: Plan = field(default_factory=lambda: Plan(NONE))
+    sent: Plan = field(default_factory=lambda: Plan(NO_VERSION))
 
     def held(self, node: NodeId) -> int:
         return sum(row.held for row in self.rows.get(node, {}).values())
 
 
 @dataclass
-class Orders:
+class ControllerOutput:
     """What follows from a look."""
 
     plans: dict[str, Plan] = field(default_factory=dict)
@@ -61,7 +65,7 @@
     notes: list[str] = field(default_factory=list)
 
 
-class Keeper:
+class ConnectionController:
     """One controller's view of all held connections."""
 
     def __init__(
@@ -69,8 +73,10 @@
     ) -> None:
         self.classes = {kind.name: kind for kind in classes}
         self.terms, self.intake = terms, Intake(bounds)
-        self.costs = Costs(list(self.classes), {name: kind.start_cost for name, kind in self.classes.items()})
-        self.gates: dict[str, GateBook] = {}
+        self.costs = CostEstimator(
+            list(self.classes), {name: kind.start_cost for name, kind in self.classes.items()}
+        )
+        self.gates: dict[str, GateState] = {}
         self.nodes: dict[NodeId, NodeView] = {}
         self.drains: dict[NodeId, int] = {}  # deadlines, of nodes that leave now
         self.adopted: dict[
@@ -79,16 +85,16 @@
         self.life, self.number = now, 0
         self.begun, self.planned_at, self.pressing = now, 0, True
         self.loads: dict[NodeId, float] = {}
-        self.outlook = drain.Outlook()
+        self.outlook = drain.DrainForecast()
 
     # what gates tell
 
     def joined(self, now: int, gate: str, zone: str, version: Version, left_us: Mapping[NodeId, int]) -> None:
         """A gate's stream stands. What is left of its drains is kept to; a plan of a later life than ours
         is outdone."""
-        book = self.gates.setdefault(gate, GateBook(gate, zone))
+        book = self.gates.setdefault(gate, GateState(gate, zone))
         book.zone, book.joined, book.serial, book.heard_at = zone, True, -1, now
-        book.sent = Plan(NONE)
+        book.sent = Plan(NO_VERSION)
         if version.life >= self.life:  # Guards against a clock that went back between two lives.
             self.life, self.number = version.life + 1, 0
         for node, left in left_us.items():
@@ -102,7 +108,9 @@
         if book := self.gates.get(gate):
             book.joined, book.left_at = False, now
 
-    def told(self, now: int, gate: str, serial: int, rows: Mapping[NodeId, Mapping[str, Counted]]) -> None:
+    def told(
+        self, now: int, gate: str, serial: int, rows: Mapping[NodeId, Mapping[str, ReportedCounts]]
+    ) -> None:
         """All that a gate holds, and what passed since its last report. An older report than the last is
         left out."""
         book = self.gates.get(gate)
@@ -189,10 +197,12 @@
 
     # looks
 
-    def look(self, now: int) -> Orders:
+    def look(self, now: int) -> ControllerOutput:
         """Called often; plans are made when something has changed, and else once a second."""
-        orders = Orders()
-        for name in [n for n, b in self.gates.items() if not b.joined and now > b.left_at + FORGET_US]:
+        orders = ControllerOutput()
+        for name in [
+            n for n, b in self.gates.items() if not b.joined and now > b.left_at + GATE_RETENTION_US
+        ]:
             del self.gates[name]
             self.pressing = True
         paces = [view.pace for view in self.nodes.values() if view.pace]
@@ -219,7 +229,7 @@
         }  # where all leave at once, nobody is ready, and drains are kept all the same
         return bool(known) and ("unproven" not in states or now > self.begun + SETTLE_US)
 
-    def plan(self, now: int, orders: Orders) -> None:
+    def plan(self, now: int, orders: ControllerOutput) -> None:
         """A plan for each gate that stands; one that says what stands already is not sent again."""
         standing = [book for book in self.gates.values() if book.joined]
         if not standing:
@@ -227,7 +237,7 @@
         held = self.held()
         full = {node: self.free_part(view) for node, view in self.nodes.items()}
         leaving = [
-            drain.Leaving(
+            drain.DrainingNode(
                 node,
                 max(deadline, now + SECOND // 10),
                 {book.name: count for book in standing if (count := self.to_go(now, book, node))},
@@ -266,7 +276,7 @@
             if not close_enough(book.sent, new, now):
                 book.sent = orders.plans[book.name] = new
 
-    def to_go(self, now: int, book: GateBook, node: NodeId) -> int:
+    def to_go(self, now: int, book: GateState, node: NodeId) -> int:
         """What a gate holds at a node that leaves, as its plan has it by now.
 
         Guards against a drain that slows down with each plan: reports are late, and a line that began anew
@@ -283,7 +293,7 @@
         return max(0.1, 1 - view.pace / able) if able else 1.0
 
     def allot(
-        self, now: int, standing: list[GateBook], full: Mapping[NodeId, float]
+        self, now: int, standing: list[GateState], full: Mapping[NodeId, float]
     ) -> dict[str, dict[NodeId, Allotment]]:
         """Each node shared out among the gates, by what they hold, what comes to them, and what they must
         let go."""
@@ -311,9 +321,9 @@
                 shares.setdefault(gate, {})[node] = part
         return shares
 
-    def returns(self, now: int, standing: list[GateBook]) -> dict[str, float]:
+    def returns(self, now: int, standing: list[GateState]) -> dict[str, float]:
         """How many screens a second each gate may ask back."""
-        together = RETURN_PART * sum(self.intake.new_per_s(now, view) for view in self.nodes.values())
+        together = RETURN_SHARE * sum(self.intake.new_per_s(now, view) for view in self.nodes.values())
         weights = {book.name: 1.0 + sum(book.held(node) for node in book.rows) for book in standing}
         return {name: max(0.1, together * weight / sum(weights.values())) for name, weight in weights.items()}
 
@@ -325,7 +335,7 @@
     deadline, and the ceiling now and half way to it.
     """
     if (
-        old.version == NONE
+        old.version == NO_VERSION
         or old.dead != new.dead
         or old.ceilings.keys() != new.ceilings.keys()
         or (old.allotted.keys() != new.allotted.keys())
--- a/lapispass/core/connections.py
+++ b/lapispass/core/connections.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class HeldConnection:
     """One connection as decisions see it; its tunnel keeps it up to date."""
 
     number: int
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class ConnectionCounts:
     """What a gate holds of one class at one node."""
 
     held: int = 0
@@ -50,34 +50,34 @@
 
 
 @dataclass
-class Book:
+class ConnectionIndex:
     """All that is held, indexed; empty indexes are forgotten."""
 
-    by_number: dict[int, Held] = field(default_factory=dict)
-    by_node: dict[NodeId, dict[int, Held]] = field(default_factory=dict)
-    by_slice: dict[int, dict[int, Held]] = field(default_factory=dict)
+    by_number: dict[int, HeldConnection] = field(default_factory=dict)
+    by_node: dict[NodeId, dict[int, HeldConnection]] = field(default_factory=dict)
+    by_slice: dict[int, dict[int, HeldConnection]] = field(default_factory=dict)
     opened: dict[tuple[NodeId, str], int] = field(default_factory=dict)  # since the last report
     arrived: int = 0  # opened or refused, since the last report
 
-    def add(self, held: Held) -> None:
+    def add(self, held: HeldConnection) -> None:
         self.by_number[held.number] = held
         self.by_node.setdefault(held.node, {})[held.number] = held
         if held.slice is not None:
             self.by_slice.setdefault(held.slice, {})[held.number] = held
         self.count_opened(held)
 
-    def count_opened(self, held: Held) -> None:
+    def count_opened(self, held: HeldConnection) -> None:
         place = held.node, held.kind.name
         self.opened[place] = self.opened.get(place, 0) + 1
 
-    def remove(self, held: Held) -> None:
+    def remove(self, held: HeldConnection) -> None:
         if self.by_number.pop(held.number, None) is None:
             return
         self._take_out(self.by_node, held.node, held.number)
         if held.slice is not None:
             self._take_out(self.by_slice, held.slice, held.number)
 
-    def move(self, held: Held, node: NodeId) -> None:
+    def move(self, held: HeldConnection, node: NodeId) -> None:
         self._take_out(self.by_node, held.node, held.number)
         held.node = node
         self.by_node.setdefault(node, {})[held.number] = held
@@ -90,28 +90,28 @@
             if not inner:
                 del index[key]
 
-    def at(self, node: NodeId) -> Iterable[Held]:
+    def at(self, node: NodeId) -> Iterable[HeldConnection]:
         return self.by_node.get(node, {}).values()
 
     def count(self, node: NodeId) -> int:
         return len(self.by_node.get(node, ()))
 
-    def of_slice(self, number: int) -> Iterable[Held]:
+    def of_slice(self, number: int) -> Iterable[HeldConnection]:
         return self.by_slice.get(number, {}).values()
 
     def __len__(self) -> int:
         return len(self.by_number)
 
-    def __iter__(self) -> Iterator[Held]:
+    def __iter__(self) -> Iterator[HeldConnection]:
         return iter(self.by_number.values())
 
-    def report(self) -> dict[NodeId, dict[str, Row]]:
+    def report(self) -> dict[NodeId, dict[str, ConnectionCounts]]:
         """What stands, and what passed since the last report; the sums begin anew."""
-        rows: dict[NodeId, dict[str, Row]] = {}
+        rows: dict[NodeId, dict[str, ConnectionCounts]] = {}
         for (node, name), count in self.opened.items():
-            rows.setdefault(node, {}).setdefault(name, Row()).opened = count
+            rows.setdefault(node, {}).setdefault(name, ConnectionCounts()).opened = count
         for held in self.by_number.values():
-            row = rows.setdefault(held.node, {}).setdefault(held.kind.name, Row())
+            row = rows.setdefault(held.node, {}).setdefault(held.kind.name, ConnectionCounts())
             row.held += 1
             row.messages += held.messages
             row.octets += held.octets
--- a/lapispass/core/costs.py
+++ b/lapispass/core/costs.py
@@ -15,11 +15,14 @@
 
 from collections.abc import Mapping, Sequence
 
-FORGET = 0.995  # of the weight of evidence, for each further observation
-BUSY_LEAST, BUSY_MOST = 0.05, 0.97  # a node with nothing to do, or with too much, tells nothing of the cost
+FORGETTING_FACTOR = 0.995  # of the weight of evidence, for each further observation
+MIN_UTILIZATION, MAX_UTILIZATION = (
+    0.05,
+    0.97,
+)  # a node with nothing to do, or with too much, tells nothing of the cost
 
 
-class Costs:
+class CostEstimator:
     """The estimate for one fleet."""
 
     def __init__(self, classes: Sequence[str], start: Mapping[str, float]) -> None:
@@ -44,7 +47,7 @@
         self, busy: float, visits_per_s: float, held: Mapping[str, int], weight: float, warm: bool
     ) -> None:
         """One node's report. Cold nodes are left out: the same work keeps them busier."""
-        if not warm or not BUSY_LEAST < busy < BUSY_MOST or weight <= 0:
+        if not warm or not MIN_UTILIZATION < busy < MAX_UTILIZATION or weight <= 0:
             return
         if not self.theta:
             if visits_per_s <= 0:
@@ -64,13 +67,15 @@
         """One step of recursive least squares; the error of a report counts as a tenth of what it says."""
         noise = max(1e-6, (0.1 * busy) ** 2)
         away = [sum(cell * value for cell, value in zip(line, row, strict=True)) for line in self.spread]
-        scale = FORGET * noise + sum(value * part for value, part in zip(row, away, strict=True))
+        scale = FORGETTING_FACTOR * noise + sum(value * part for value, part in zip(row, away, strict=True))
         gain = [part / scale for part in away]
         error = busy - sum(value * weight for value, weight in zip(row, self.theta, strict=True))
         self.theta = [max(0.0, old + part * error) for old, part in zip(self.theta, gain, strict=True)]
         size = range(len(row))
         starts = [self.theta[0], *(self.theta[0] * self.prior(name) for name in self.classes)]
-        self.spread = [[(self.spread[i][j] - gain[i] * away[j]) / FORGET for j in size] for i in size]
+        self.spread = [
+            [(self.spread[i][j] - gain[i] * away[j]) / FORGETTING_FACTOR for j in size] for i in size
+        ]
         for (
             place
         ) in size:  # Guards against winding up where a class is never seen: as unsure as at first at most.
--- a/lapispass/core/drain.py
+++ b/lapispass/core/drain.py
@@ -21,11 +21,11 @@
 from lapispass.core.plans import Ceiling, Curve
 from lapispass.core.shared_types import SECOND, NodeId, NodeView
 
-SLOTS = 120
-DRAIN_PART = 0.7  # of what destinations take; the rest is for screens that come by themselves
+MAX_SLOTS = 120
+DRAIN_SHARE = 0.7  # of what destinations take; the rest is for screens that come by themselves
 
 
-class Leaving(NamedTuple):
+class DrainingNode(NamedTuple):
     """A node that leaves: when its last connection must be closed, and what each gate holds there."""
 
     node: NodeId
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Outlook:
+class DrainForecast:
     """What a plan expects; for logs, reports and tests."""
 
     leaving: int = 0
@@ -44,10 +44,10 @@
     curves: dict[int, Curve] = field(default_factory=dict)  # by deadline
 
 
-def slots_of(now: int, end_us: int) -> tuple[int, int]:
+def time_slots(now: int, end_us: int) -> tuple[int, int]:
     """Number and width of slots from now to the end."""
     span = max(1, end_us - now)
-    count = min(SLOTS, max(1, span // (SECOND // 20)))
+    count = min(MAX_SLOTS, max(1, span // (SECOND // 20)))
     return count, -(-span // count)
 
 
@@ -69,7 +69,7 @@
         taken = 0.0
         for place in range(count):
             at = now + place * width_us
-            pace = DRAIN_PART * intake.new_per_s(at, node) * width_us / SECOND
+            pace = DRAIN_SHARE * intake.new_per_s(at, node) * width_us / SECOND
             most = intake.most_held(at, node) * full.get(node.node, 1.0) - held.get(node.node, 0)
             part = max(0.0, min(pace, most - taken))
             taken += part
@@ -83,7 +83,9 @@
     return rooms
 
 
-def fill(amount: float, rooms: list[float], going: list[float], until: int) -> tuple[list[float], float]:
+def spread_evenly(
+    amount: float, rooms: list[float], going: list[float], until: int
+) -> tuple[list[float], float]:
     """Spreads an amount over the first slots so that the sum with what goes already is as even as rooms
     allow.
 
@@ -104,20 +106,20 @@
     return [min(room, max(0.0, high - base)) for room, base in pairs], 0.0
 
 
-def spare_us(now: int, deadline_us: int) -> int:
+def safety_margin_us(now: int, deadline_us: int) -> int:
     """Left empty at the end: a move that begins last, or has to be tried again, is still done in time."""
     return min(2 * SECOND, (deadline_us - now) // 8)
 
 
-def curves(now: int, leaving: Sequence[Leaving], rooms: list[float], width_us: int) -> Outlook:
+def curves(now: int, leaving: Sequence[DrainingNode], rooms: list[float], width_us: int) -> DrainForecast:
     """A curve for each deadline, the earliest first; `rooms` is used up on the way."""
-    outlook = Outlook(leaving=sum(sum(node.held.values()) for node in leaving))
+    outlook = DrainForecast(leaving=sum(sum(node.held.values()) for node in leaving))
     outlook.intake_per_s = max(rooms, default=0.0) * SECOND / width_us
     going = [0.0] * len(rooms)
     for deadline in sorted({node.deadline_us for node in leaving}):
         amount = float(sum(sum(node.held.values()) for node in leaving if node.deadline_us == deadline))
-        until = max(1, min(len(rooms), (deadline - spare_us(now, deadline) - now) // width_us))
-        parts, unfitting = fill(amount, rooms, going, until)
+        until = max(1, min(len(rooms), (deadline - safety_margin_us(now, deadline) - now) // width_us))
+        parts, unfitting = spread_evenly(amount, rooms, going, until)
         for place, part in enumerate(parts):
             rooms[place] -= part
         if unfitting:
@@ -129,17 +131,17 @@
             share = max(0.0, 1 - gone / amount) if amount and place + 1 < until else 0.0
             points.append((now + (place + 1) * width_us, share))
         outlook.unfitting += round(unfitting)
-        outlook.curves[deadline] = Curve(thinned(points), deadline)
+        outlook.curves[deadline] = Curve(simplified(points), deadline)
     outlook.peak_per_s = max(going, default=0.0) * SECOND / width_us
     return outlook
 
 
-def phase(gate: str, node: NodeId) -> float:
+def rounding_offset(gate: str, node: NodeId) -> float:
     """From 0 up to 1, another for each pair: whose last one goes early in its interval and whose late."""
     return (xxhash.xxh32_intdigest(f"{gate} {node}".encode()) >> 8) / (1 << 24)
 
 
-def thinned(points: list[tuple[int, float]]) -> tuple[tuple[int, float], ...]:
+def simplified(points: list[tuple[int, float]]) -> tuple[tuple[int, float], ...]:
     """Without the points that lie on the line between the last one kept and the next one."""
     kept = [points[0]]
     for point, after in pairwise(points[1:]):
@@ -151,21 +153,23 @@
 
 def plan(
     now: int,
-    leaving: Sequence[Leaving],
+    leaving: Sequence[DrainingNode],
     nodes: Sequence[NodeView],
     held: Mapping[NodeId, int],
     intake: Intake,
     full: Mapping[NodeId, float],
-) -> tuple[dict[str, dict[NodeId, Ceiling]], Outlook]:
+) -> tuple[dict[str, dict[NodeId, Ceiling]], DrainForecast]:
     """Ceilings by gate and node, and what to expect."""
     if not leaving:
-        return {}, Outlook()
-    count, width_us = slots_of(now, max(node.deadline_us for node in leaving))
+        return {}, DrainForecast()
+    count, width_us = time_slots(now, max(node.deadline_us for node in leaving))
     rooms = room_by_slot(now, width_us, count, nodes, held, intake, full)
     outlook = curves(now, leaving, rooms, width_us)
     ceilings: dict[str, dict[NodeId, Ceiling]] = {}
     for node in leaving:
         curve = outlook.curves[node.deadline_us]
         for gate, standing in node.held.items():
-            ceilings.setdefault(gate, {})[node.node] = Ceiling(curve, standing, phase(gate, node.node))
+            ceilings.setdefault(gate, {})[node.node] = Ceiling(
+                curve, standing, rounding_offset(gate, node.node)
+            )
     return ceilings, outlook
--- a/lapispass/core/limits.py
+++ b/lapispass/core/limits.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Rate:
+class RateLimiter:
     """So many a second, and so many at once."""
 
     per_s: float
@@ -49,7 +49,7 @@
             self.due_us = now + min(owed, self.burst + 1.0) * self.every_us
 
 
-class Returns:
+class ReturnSlots:
     """When those that are turned away or closed may come back: one slot after the other, spread by the seed.
 
     Each slot is drawn from within its own interval, so that two screens never get the same instant, and no
--- a/lapispass/core/ownership.py
+++ b/lapispass/core/ownership.py
@@ -16,23 +16,23 @@
 
 
 @lru_cache(maxsize=1 << 18)
-def drawn(name: str, number: int) -> float:
+def rendezvous_hash(name: str, number: int) -> float:
     """Above 0 and below 1, the same everywhere, for a member and a slice."""
     return (xxhash.xxh64_intdigest(f"{name} {number}".encode()) + 1) / ((1 << 64) + 2)
 
 
-def wanted(number: int, members: Mapping[str, float]) -> str | None:
+def preferred_owner(number: int, members: Mapping[str, float]) -> str | None:
     """Who should hold a slice; ties go by name. A member of weight 0 takes nothing: it is on its way out."""
     best, best_score = None, 0.0
     for name in sorted(members):
         if members[name] > 0:
-            score = members[name] / -log(drawn(name, number))
+            score = members[name] / -log(rendezvous_hash(name, number))
             if best is None or score > best_score:
                 best, best_score = name, score
     return best
 
 
-def shares(slices: int, members: Mapping[str, float]) -> dict[int, str]:
+def preferred_owners(slices: int, members: Mapping[str, float]) -> dict[int, str]:
     """For all slices; empty without members."""
-    found = {number: wanted(number, members) for number in range(slices)}
+    found = {number: preferred_owner(number, members) for number in range(slices)}
     return {number: name for number, name in found.items() if name is not None}
--- a/lapispass/core/plans.py
+++ b/lapispass/core/plans.py
@@ -23,7 +23,7 @@
     number: int
 
 
-NONE = Version(-1, -1)
+NO_VERSION = Version(-1, -1)
 
 
 class Curve(NamedTuple):
--- a/lapispass/core/release_policy.py
+++ b/lapispass/core/release_policy.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from lapispass.core.connections import Held
+from lapispass.core.connections import HeldConnection
 from lapispass.core.plans import Ceiling
 from lapispass.core.shared_types import SECOND
 
@@ -20,7 +20,7 @@
     how: str
 
 
-def due(ceiling: Ceiling, now: int, tick_us: int, standing: int, going: int) -> int:
+def count_due(ceiling: Ceiling, now: int, tick_us: int, standing: int, going: int) -> int:
     """How many of those that stand must begin to go now, `going` being on their way already.
 
     Guards against a burst where the plan came late or the process stood still: what is behind is spread
@@ -40,7 +40,7 @@
     return min(left, max(1, sinking, -(-behind * tick_us // max(tick_us, within))))
 
 
-def disturbance(held: Held, now: int) -> tuple[int, int, float]:
+def disruption(held: HeldConnection, now: int) -> tuple[int, int, float]:
     """How much it disturbs to let a connection go; least first.
 
     First those that are cut off as it is (a message waits that may not be written here any more), then
@@ -58,13 +58,13 @@
     return rank, int(held.kind.benefit * 1000) if rank == 2 else 0, -(now - held.last_us) / SECOND
 
 
-def choose(standing: Iterable[Held], count: int, now: int, last: bool) -> list[Release]:
+def choose(standing: Iterable[HeldConnection], count: int, now: int, last: bool) -> list[Release]:
     """The `count` least disturbing, and how each goes; `last` when no time is left to move any.
 
     One that is in the middle of a message waits for its end, unless it is the last moment.
     """
     free = (held for held in standing if not held.leaving and (last or not held.inside))
-    chosen = heapq.nsmallest(count, free, key=lambda held: (*disturbance(held, now), held.number))
+    chosen = heapq.nsmallest(count, free, key=lambda held: (*disruption(held, now), held.number))
     return [
         Release(held.number, "close" if last or not held.kind.movable or held.moves_failed > 1 else "move")
         for held in chosen
--- a/lapispass/core/resources.py
+++ b/lapispass/core/resources.py
@@ -72,14 +72,14 @@
     shelf.put("lds", WRITES, Listener(WRITES, WRITES, ttl_us), 0)
 
 
-def follow(shelf: Shelf, stands: tables.Tables, changes: list[tables.Change], turn: int) -> int:
+def follow(shelf: Shelf, stands: tables.Tables, changes: list[tables.TableChange], turn: int) -> int:
     """Sets the assignments that a turn's changes concern; how many are new."""
     numbers: set[int] = set()
     for change in changes:
         match change:
-            case tables.SetLine(number, _) | tables.SetShare(number, _, _):
+            case tables.SetOwner(number, _) | tables.SetShare(number, _, _):
                 numbers.add(number)
-            case tables.SetOut(node, _) | tables.SetNode(node, _):
+            case tables.SetWithdrawn(node, _) | tables.SetNode(node, _):
                 numbers |= {number for number, owner in stands.owners.items() if owner == node}
             case _:
                 pass
@@ -92,7 +92,7 @@
 
 def assignment(stands: tables.Tables, number: int, writes: bool) -> Assignment:
     """A slice's owner, or nobody: while it is bare, its owner is shut out, or its writes are shut."""
-    share = stands.shares.get(number, tables.OPEN)
+    share = stands.shares.get(number, tables.DEFAULT_SHARE)
     owner = stands.owner(number)
     where = stands.nodes.get(owner) if owner is not None else None
     shut = writes and share.shut
--- a/lapispass/core/steering.py
+++ b/lapispass/core/steering.py
@@ -14,24 +14,24 @@
 
 from lapispass.core import release_policy, tables
 from lapispass.core.admission import Admission, Refused
-from lapispass.core.connections import Book, Held
-from lapispass.core.limits import Returns
-from lapispass.core.plans import NONE, Plan, Version
+from lapispass.core.connections import ConnectionIndex, HeldConnection
+from lapispass.core.limits import ReturnSlots
+from lapispass.core.plans import NO_VERSION, Plan, Version
 from lapispass.core.shared_types import NEVER, ConnectionClass, NodeId
-from lapispass.core.write_barriers import Fences, Lease
+from lapispass.core.write_barriers import WriteBarriers, WriteLease
 
-DRAWS_MOST = 12  # before all nodes are looked at
-STRAYED_MOST = 500  # looked at in one tick
-TRIES_MOST = 2  # nodes that one arrival may be offered; only where no key binds it
+MAX_DRAWS = 12  # before all nodes are looked at
+MISPLACED_PER_TICK = 500  # looked at in one tick
+MAX_NODE_TRIES = 2  # nodes that one arrival may be offered; only where no key binds it
 
 
-class Unfit(NamedTuple):
+class Unsupported(NamedTuple):
     """It can't be held as it was asked for, now or later."""
 
     why: str
 
 
-class Go(NamedTuple):
+class Admitted(NamedTuple):
     """Open it at this node."""
 
     node: NodeId
@@ -64,11 +64,11 @@
     ) -> None:
         self.classes = tuple(classes)
         self.tables = tables.Tables(slices)
-        self.book, self.fences = Book(), Fences()
-        self.returns = Returns(10.0, *come_back_us, seed)
+        self.book, self.fences = ConnectionIndex(), WriteBarriers()
+        self.returns = ReturnSlots(10.0, *come_back_us, seed)
         self.admission = Admission(connections, new_per_s, burst, self.returns)
-        self.lease: Lease | None = Lease(lease_us, early_us) if lease_us else None
-        self.plan = Plan(NONE)
+        self.lease: WriteLease | None = WriteLease(lease_us, early_us) if lease_us else None
+        self.plan = Plan(NO_VERSION)
         self.coming: dict[NodeId, int] = {}  # admitted, not standing yet
         self.going: dict[NodeId, int] = {}  # told to go, still standing
         self.strayed: dict[
@@ -86,11 +86,11 @@
     def held_at(self, node: NodeId) -> int:
         return self.book.count(node) + self.coming.get(node, 0)
 
-    def arrive(self, now: int, kind: ConnectionClass, key: str | None) -> Go | Refused | Unfit:
+    def arrive(self, now: int, kind: ConnectionClass, key: str | None) -> Admitted | Refused | Unsupported:
         """Where a new connection goes. A node that is named has one place taken for it until `stand` or
         `fail`."""
         if kind.writes and key is None:  # Guards rule 2: whose writes these are could not be told.
-            return Unfit("a class that writes needs a key")
+            return Unsupported("a class that writes needs a key")
         self.book.arrived += 1
         if refused := self.admission.gate_full(now, len(self.book) + sum(self.coming.values())):
             return refused
@@ -104,7 +104,7 @@
             return self._enter(now, owner, number)
         return self.place(now, ())
 
-    def place(self, now: int, tried: Collection[NodeId]) -> Go | Refused:
+    def place(self, now: int, tried: Collection[NodeId]) -> Admitted | Refused:
         """A node for a connection that no key binds: of two drawn by the slices they own, the one with more
         room.
 
@@ -113,7 +113,7 @@
         """
         found: list[NodeId] = []
         for _ in range(
-            DRAWS_MOST
+            MAX_DRAWS
         ):  # a slice at random is an owner by its share; the whole table is rarely needed
             owner = self.tables.owner(int(self.returns.draw() * self.tables.slices))
             if (
@@ -150,13 +150,13 @@
             now, max(sorted(free), key=lambda node: self.admission.room(node, self.held_at(node))), None
         )
 
-    def _enter(self, now: int, node: NodeId, number: int | None) -> Go | Refused:
+    def _enter(self, now: int, node: NodeId, number: int | None) -> Admitted | Refused:
         held = self.held_at(node)
         if not self.admission.take(now, node, held):
             wait = self.admission.wait_us(now, node, held)
             return self.admission.refused(now, "node full" if wait >= NEVER else "node's pace", wait)
         self.coming[node] = self.coming.get(node, 0) + 1
-        return Go(node, number)
+        return Admitted(node, number)
 
     def fail(self, node: NodeId) -> None:
         """An admitted one has not come to stand."""
@@ -171,15 +171,15 @@
 
     # what stands
 
-    def stand(self, now: int, kind: ConnectionClass, go: Go, key: str | None) -> Held:
+    def stand(self, now: int, kind: ConnectionClass, go: Admitted, key: str | None) -> HeldConnection:
         """Both ends are up."""
         self._count(self.coming, go.node, -1)
         self.number += 1
-        held = Held(self.number, kind, go.slice, go.node, now, now, key or "")
+        held = HeldConnection(self.number, kind, go.slice, go.node, now, now, key or "")
         self.book.add(held)
         return held
 
-    def gone(self, held: Held) -> list[int]:
+    def gone(self, held: HeldConnection) -> list[int]:
         """It has ended, and nothing of it is on its way any more; marks that waited for it alone."""
         if held.leaving:
             self.stay(held)
@@ -188,7 +188,7 @@
         self.fences.prove(held.number)
         return self.fences.answers()
 
-    def may_write(self, now: int, held: Held) -> bool:
+    def may_write(self, now: int, held: HeldConnection) -> bool:
         """Whether a message of the screen may begin on its way to the node. Asked right before the write."""
         if not held.kind.writes:
             return True
@@ -196,12 +196,12 @@
             return False
         return held.slice is None or self.tables.may_write(held.slice, held.node)
 
-    def wrote(self, now: int, held: Held, octets: int) -> None:
+    def wrote(self, now: int, held: HeldConnection, octets: int) -> None:
         held.written, held.last_us = held.written + 1, now
         held.messages += 1
         held.octets += octets
 
-    def proven(self, held: Held, written: int) -> list[int]:
+    def proven(self, held: HeldConnection, written: int) -> list[int]:
         """Its node has read so many pieces, as many as there were when it was stopped; marks that can be
         answered now.
 
@@ -211,7 +211,7 @@
         self.fences.prove(held.number)
         return self.fences.answers()
 
-    def cut(self, held: Held) -> list[int]:
+    def cut(self, held: HeldConnection) -> list[int]:
         """The way to its node is cut, so that nothing unsent can reach it; marks that can be answered now.
 
         What the node had received by then lives no longer than a visit's write does, and the controller
@@ -221,24 +221,24 @@
         self.fences.prove(held.number)
         return self.fences.answers()
 
-    def misplaced(self, held: Held) -> bool:
+    def misplaced(self, held: HeldConnection) -> bool:
         """Whether its slice is someone else's now, or nobody's."""
         return held.slice is not None and self.tables.owner(held.slice) != held.node
 
     # moves
 
-    def leave(self, held: Held) -> None:
+    def leave(self, held: HeldConnection) -> None:
         if not held.leaving:
             held.leaving = True
             self._count(self.going, held.node, 1)
 
-    def stay(self, held: Held) -> None:
+    def stay(self, held: HeldConnection) -> None:
         """It was told to go and goes on where it is: a move came to nothing."""
         if held.leaving:
             held.leaving = False
             self._count(self.going, held.node, -1)
 
-    def target(self, now: int, held: Held) -> Go | Refused:
+    def target(self, now: int, held: HeldConnection) -> Admitted | Refused:
         """Where one that is to move goes: its slice's owner, or any node with room."""
         if held.slice is None:
             return self.place(now, (held.node,))
@@ -247,7 +247,7 @@
             return self.admission.refused(now, "slice has no other owner yet")
         return self._enter(now, owner, held.slice)
 
-    def moved(self, now: int, held: Held, go: Go) -> list[int]:
+    def moved(self, now: int, held: HeldConnection, go: Admitted) -> list[int]:
         """It stands at its new node, and the old one has read all and closed."""
         self._count(self.coming, go.node, -1)
         self.stay(held)
@@ -259,12 +259,12 @@
 
     # orders
 
-    def apply(self, changes: Iterable[tables.Change]) -> Effects:
+    def apply(self, changes: Iterable[tables.TableChange]) -> Effects:
         """Table changes and marks, in order. A writer that a change concerns stops before any later mark is
         counted."""
         effects, freed = Effects(), set()
         for change in changes:
-            if isinstance(change, tables.Asked):
+            if isinstance(change, tables.BarrierRequest):
                 self.fences.ask(change.mark)
                 continue
             for number in self.tables.apply(change):
@@ -313,7 +313,7 @@
         releases: list[release_policy.Release] = []
         for node, ceiling in self.plan.ceilings.items():
             standing = self.book.count(node)
-            count = release_policy.due(ceiling, now, tick_us, standing, self.going.get(node, 0))
+            count = release_policy.count_due(ceiling, now, tick_us, standing, self.going.get(node, 0))
             if count:
                 last = now + 2 * tick_us >= ceiling.deadline_us
                 releases += release_policy.choose(self.book.at(node), count, now, last)
@@ -328,7 +328,7 @@
         """
         releases: list[release_policy.Release] = []
         wanted: dict[NodeId, int] = {}
-        for number in list(self.strayed)[:STRAYED_MOST]:
+        for number in list(self.strayed)[:MISPLACED_PER_TICK]:
             held = self.book.by_number.get(number)
             if held is None or held.slice is None or not self.misplaced(held):
                 del self.strayed[number]
--- a/lapispass/core/table_snapshot.py
+++ b/lapispass/core/table_snapshot.py
@@ -10,7 +10,7 @@
 from lapispass.core.shared_types import NodeId
 
 
-class Picture:
+class TableSnapshot:
     """Follows one controller turn by turn."""
 
     def __init__(self, slices: int, classes: Sequence[interface.VisitClass], by_share: bool) -> None:
@@ -26,7 +26,7 @@
         events: Iterable[interface.Event],
         orders: Iterable[interface.Order],
         addresses: Mapping[NodeId, tables.Address],
-    ) -> tuple[list[tables.Change], int | None]:
+    ) -> tuple[list[tables.TableChange], int | None]:
         """What a turn has changed, and its mark. Intermediate states of one turn are not told: a gate
         applies it whole.
 
@@ -40,15 +40,15 @@
                     (self.ours.add if ours else self.ours.discard)(number)
                     self.clear(number)
                 case interface.Held(number, backend) if number in self.ours:
-                    self.stands.apply(tables.SetLine(number, str(backend)))
+                    self.stands.apply(tables.SetOwner(number, str(backend)))
         for order in orders:
             match order:
                 case interface.Own(number, backend, _):
-                    self.stands.apply(tables.SetLine(number, str(backend)))
+                    self.stands.apply(tables.SetOwner(number, str(backend)))
                 case interface.Empty(number):
                     self.clear(number)
                 case interface.Withdraw(backend, out):
-                    self.stands.apply(tables.SetOut(str(backend), out))
+                    self.stands.apply(tables.SetWithdrawn(str(backend), out))
                 case interface.Admit(table, classes, _, share):
                     for number in self.ours if table is None else (table,):
                         self.admit(number, classes, share)
@@ -59,7 +59,7 @@
 
     def clear(self, number: int) -> None:
         """An empty table has no levels either."""
-        self.stands.apply(tables.SetLine(number, None))
+        self.stands.apply(tables.SetOwner(number, None))
         self.levels.pop(number, None)
 
     def admit(self, number: int, classes: int, share: float) -> None:
--- a/lapispass/core/tables.py
+++ b/lapispass/core/tables.py
@@ -18,7 +18,7 @@
     zone: str
 
 
-class SetLine(NamedTuple):
+class SetOwner(NamedTuple):
     """A slice's owner, or none: the empty step."""
 
     slice: int
@@ -33,7 +33,7 @@
     shut: bool
 
 
-class SetOut(NamedTuple):
+class SetWithdrawn(NamedTuple):
     """A node is shut out of all tables, or let in again."""
 
     node: NodeId
@@ -47,13 +47,13 @@
     address: Address | None
 
 
-class Asked(NamedTuple):
+class BarrierRequest(NamedTuple):
     """A mark: answered when nothing held can still write by an older table."""
 
     mark: int
 
 
-Change = SetLine | SetShare | SetOut | SetNode | Asked
+TableChange = SetOwner | SetShare | SetWithdrawn | SetNode | BarrierRequest
 
 
 def slice_of(key: str, slices: int) -> int:
@@ -67,7 +67,7 @@
     shut: bool = False
 
 
-OPEN = Share()
+DEFAULT_SHARE = Share()
 
 
 class Tables:
@@ -80,10 +80,10 @@
         self.out: set[NodeId] = set()
         self.nodes: dict[NodeId, Address] = {}
 
-    def apply(self, change: Change) -> set[int]:
+    def apply(self, change: TableChange) -> set[int]:
         """Carries out a change; the slices whose writers it may concern."""
         match change:
-            case SetLine(number, owner):
+            case SetOwner(number, owner):
                 if self.owners.get(number) == owner or not 0 <= number < self.slices:
                     return set()
                 if owner is None:
@@ -95,13 +95,13 @@
             case SetShare(number, share, shut):
                 if not 0 <= number < self.slices:
                     return set()
-                old = self.shares.get(number, OPEN)
+                old = self.shares.get(number, DEFAULT_SHARE)
                 if share >= 1 and not shut:
                     self.shares.pop(number, None)
                 else:
                     self.shares[number] = Share(share, shut)
                 return {number} if old.shut != shut else set()
-            case SetOut(node, out):
+            case SetWithdrawn(node, out):
                 if out == (node in self.out):
                     return set()
                 (self.out.add if out else self.out.discard)(node)
@@ -121,10 +121,10 @@
         return None if owner in self.out else owner
 
     def may_write(self, number: int, node: NodeId) -> bool:
-        return self.owner(number) == node and not self.shares.get(number, OPEN).shut
+        return self.owner(number) == node and not self.shares.get(number, DEFAULT_SHARE).shut
 
     def share(self, number: int) -> float:
-        return self.shares.get(number, OPEN).share
+        return self.shares.get(number, DEFAULT_SHARE).share
 
     def serving(self) -> dict[NodeId, int]:
         """How many slices each node that is reached and not shut out owns."""
@@ -134,7 +134,7 @@
                 counts[owner] = counts.get(owner, 0) + 1
         return counts
 
-    def differences(self, stands: Tables) -> Iterable[Change]:
+    def differences(self, stands: Tables) -> Iterable[TableChange]:
         """What has to change so that `stands` becomes this; in an order that is safe at every step.
 
         Nodes are known before lines name them; a slice that changes owner is emptied only by its own empty
@@ -144,15 +144,15 @@
             if stands.nodes.get(node) != address:
                 yield SetNode(node, address)
         for node in sorted(self.out - stands.out):
-            yield SetOut(node, True)
+            yield SetWithdrawn(node, True)
         for number in sorted(self.owners.keys() | stands.owners.keys()):
             if self.owners.get(number) != stands.owners.get(number):
-                yield SetLine(number, self.owners.get(number))
+                yield SetOwner(number, self.owners.get(number))
         for number in sorted(self.shares.keys() | stands.shares.keys()):
-            mine = self.shares.get(number, OPEN)
-            if mine != stands.shares.get(number, OPEN):
+            mine = self.shares.get(number, DEFAULT_SHARE)
+            if mine != stands.shares.get(number, DEFAULT_SHARE):
                 yield SetShare(number, mine.share, mine.shut)
         for node in sorted(stands.out - self.out):
-            yield SetOut(node, False)
+            yield SetWithdrawn(node, False)
         for node in sorted(stands.nodes.keys() - self.nodes.keys()):
             yield SetNode(node, None)
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -93,7 +93,7 @@
         released = 0
         for number in range(self.slices):
             record = self.records.get(number, FRESH)
-            should = ownership.wanted(number, alive)
+            should = ownership.preferred_owner(number, alive)
             ours = record.holder == self.name
             if ours and number not in self.acting:
                 self.acting.add(number)
--- a/lapispass/core/write_barriers.py
+++ b/lapispass/core/write_barriers.py
@@ -13,7 +13,7 @@
 from collections import deque
 
 
-class Fences:
+class WriteBarriers:
     """Marks in the order they came, and the connections each still waits for."""
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
         self.marks.clear()
 
 
-class Lease:
+class WriteLease:
     """How long a gate may let writes through without word from its controller.
 
     The controller counts from when it missed the gate; the gate from when it *sent* the last beat that was
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -10,10 +10,10 @@
 
 from lapispass import interface
 from lapispass.core import tables
-from lapispass.core.connection_controller import Keeper
+from lapispass.core.connection_controller import ConnectionController
 from lapispass.core.plans import Plan, Version
 from lapispass.core.shared_types import NodeView
-from lapispass.core.table_snapshot import Picture
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
 from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time, streams
@@ -64,8 +64,10 @@
             name: deployment.proxies - len(told.gates.name) + place
             for place, name in enumerate(told.gates.name)
         }
-        self.keeper = Keeper(operator.classes(told), bounds, operator.drain_terms(told), service.clock.now())
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
+        self.keeper = ConnectionController(
+            operator.classes(told), bounds, operator.drain_terms(told), service.clock.now()
+        )
+        self.picture = TableSnapshot(deployment.slices, deployment.classes, deployment.admits == "share")
         self.gates: dict[str, Joined] = {}
         self.known: dict[str, tuple[str, int]] = {}  # name: the process that had it last, and when it left
         self.addresses: dict[str, tables.Address] = {}
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -11,7 +11,7 @@
 
 from lapispass.core.admission import Refused
 from lapispass.core.shared_types import ConnectionClass
-from lapispass.core.steering import TRIES_MOST, Go, Unfit
+from lapispass.core.steering import MAX_NODE_TRIES, Admitted, Unsupported
 from lapispass.gate import upgrade
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
@@ -50,7 +50,7 @@
 
     kind: ConnectionClass
     key: str | None
-    go: Go
+    go: Admitted
     node: Side
     protocol: str | None
     opener: NodeOpener
@@ -149,12 +149,12 @@
 
     async def enter(
         self, kind: ConnectionClass, key: str | None, opener: NodeOpener
-    ) -> tuple[Go, Side, str | None]:
+    ) -> tuple[Admitted, Side, str | None]:
         """A node that has taken the upgrade, or a `Refusal` with when to come back."""
         steering, tried = self.gate.steering, []
         choice = steering.arrive(self.clock.now(), kind, key)
         while True:
-            if isinstance(choice, Unfit):
+            if isinstance(choice, Unsupported):
                 raise Refusal(400, choice.why)
             if isinstance(choice, Refused):
                 raise Refusal(503, choice.why, choice.retry_after_us)
@@ -169,7 +169,7 @@
                 now = self.clock.now()
                 if error.final:
                     raise Refusal(error.status, str(error)) from None
-                if key is not None or len(tried) >= TRIES_MOST:
+                if key is not None or len(tried) >= MAX_NODE_TRIES:
                     wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
                 choice = steering.place(now, tried)  # nothing was held or written: another node may be asked
--- a/lapispass/gate/host.py
+++ b/lapispass/gate/host.py
@@ -29,7 +29,7 @@
 class TableHost(GateHost, Protocol):
     """What whoever brings tables and plans needs: the stream to a controller, or the file of a lone gate."""
 
-    def carry_out(self, changes: Iterable[tables.Change]) -> None:
+    def carry_out(self, changes: Iterable[tables.TableChange]) -> None:
         """Table changes and marks, at once: from here on nothing begins by the older table."""
 
     def follow(self, plan: Plan) -> bool:
--- a/lapispass/gate/lone.py
+++ b/lapispass/gate/lone.py
@@ -4,8 +4,8 @@
 from __future__ import annotations
 
 from lapispass.core import tables
-from lapispass.core.connection_controller import Counted, Keeper
-from lapispass.core.plans import NONE
+from lapispass.core.connection_controller import ConnectionController, ReportedCounts
+from lapispass.core.plans import NO_VERSION
 from lapispass.core.shared_types import NodeView
 from lapispass.core.start_times import local_start
 from lapispass.gate.host import TableHost
@@ -23,8 +23,10 @@
         self.gate = gate
         told = source.told
         now = gate.clock.now()
-        self.keeper = Keeper(operator.classes(told), operator.bounds(told), operator.drain_terms(told), now)
-        self.keeper.joined(now, gate.settings.name, gate.settings.zone, NONE, {})
+        self.keeper = ConnectionController(
+            operator.classes(told), operator.bounds(told), operator.drain_terms(told), now
+        )
+        self.keeper.joined(now, gate.settings.name, gate.settings.zone, NO_VERSION, {})
         self.views: list[NodeView] = []
         self.starts: dict[str, tuple[int, int]] = {}  # node: as the file says, and by our clock
         self.serial, self.reported = 0, 0
@@ -79,7 +81,7 @@
             self.reported, self.serial = now, self.serial + 1
             rows = {
                 node: {
-                    kind: Counted(row.held, row.opened, row.messages, row.octets)
+                    kind: ReportedCounts(row.held, row.opened, row.messages, row.octets)
                     for kind, row in by_class.items()
                 }
                 for node, by_class in gate.steering.book.report().items()
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from lapispass.core.connections import Held
+from lapispass.core.connections import HeldConnection
 from lapispass.core.shared_types import NEVER
-from lapispass.core.steering import Go
+from lapispass.core.steering import Admitted
 from lapispass.gate.frames import Side
 from lapispass.gate.limits import Limits
 from lapispass.gate.node_connection import NoNode
@@ -21,7 +21,7 @@
 
     __slots__ = ("go", "new", "opening", "step", "token", "until")
 
-    def __init__(self, go: Go, opening: asyncio.Task[tuple[Side, str | None]]) -> None:
+    def __init__(self, go: Admitted, opening: asyncio.Task[tuple[Side, str | None]]) -> None:
         self.go, self.opening = go, opening
         self.step = "opening"
         self.new: Side | None = None
@@ -41,7 +41,7 @@
         self.step, self.until = "stopping", until
         return True
 
-    def prove(self, old: Side, held: Held, now: int, limits: Limits) -> bool:
+    def prove(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> bool:
         """Has the old node show that it has read all; True in the turn in which it has."""
         if self.step == "stopping" and not held.inside:
             self.step, self.token = "proving", old.ping(now)
@@ -50,14 +50,14 @@
             return True
         return False
 
-    def close_when_quiet(self, old: Side, held: Held, now: int, limits: Limits) -> None:
+    def close_when_quiet(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> None:
         """Closes the old node between two of its messages, once it is quiet or has had its time for that."""
         is_quiet = now - held.last_us >= limits.quiet_us or now >= self.until
         if self.step == "quieting" and not old.inside and is_quiet:
             old.close(1000, "moved")
             self.step, self.until = "parting", now + limits.close_us
 
-    def next_due(self, held: Held, limits: Limits) -> int:
+    def next_due(self, held: HeldConnection, limits: Limits) -> int:
         """When something has to be done without anything coming."""
         quiet_at = held.last_us + limits.quiet_us if self.step == "quieting" else NEVER
         return min(self.until, quiet_at)
--- a/lapispass/gate/node_connection.py
+++ b/lapispass/gate/node_connection.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from lapispass.core.steering import Go
+from lapispass.core.steering import Admitted
 from lapispass.gate import upgrade
 from lapispass.gate.evented_reader import EventedReader, connect
 from lapispass.gate.frames import Side
@@ -34,7 +34,7 @@
     peer: str  # the client's address
     wake: asyncio.Event
 
-    async def open(self, go: Go) -> tuple[Side, str | None]:
+    async def open(self, go: Admitted) -> tuple[Side, str | None]:
         """A connection to a node that has answered 101, or `NoNode`."""
         gate, limits = self.gate, self.gate.limits
         address = gate.steering.tables.nodes.get(go.node)
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -84,7 +84,7 @@
 
     # orders
 
-    def carry_out(self, changes: Iterable[tables.Change]) -> None:
+    def carry_out(self, changes: Iterable[tables.TableChange]) -> None:
         """Table changes and marks, at once: from here on nothing begins by the older table."""
         now = self.clock.now()
         effects = self.steering.apply(changes)
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -9,7 +9,7 @@
 from wsproto.events import CloseConnection, Event, Message, Ping, Pong
 
 from lapispass.core.admission import Refused
-from lapispass.core.connections import Held
+from lapispass.core.connections import HeldConnection
 from lapispass.core.shared_types import NEVER
 from lapispass.gate import close_codes
 from lapispass.gate.evented_reader import EventedReader
@@ -75,7 +75,7 @@
         self.client = Side("screen", reader, writer, accepted.early, now, self.limits.buffer_bytes)
         self.node: Side | None = accepted.node
         self.protocol, self.opener = accepted.protocol, accepted.opener
-        self.held: Held = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
+        self.held: HeldConnection = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
         self.kept: Message[Any] | None = None  # a message that may not begin yet
         self.move: Move | None = None
         self.ending: Ending | None = None
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -16,7 +16,7 @@
 
 from lapispass.core import tables
 from lapispass.core.admission import Allotment
-from lapispass.core.connection_controller import Counted
+from lapispass.core.connection_controller import ReportedCounts
 from lapispass.core.plans import Ceiling, Curve, Plan, Version
 
 PROTOCOL = 1
@@ -159,34 +159,34 @@
     return there
 
 
-def turn(changes: Iterable[tables.Change], mark: int | None) -> Turn:
+def turn(changes: Iterable[tables.TableChange], mark: int | None) -> Turn:
     told = Turn([], [], [], [], mark)
     for change in changes:
         match change:
-            case tables.SetLine(number, owner):
+            case tables.SetOwner(number, owner):
                 told.lines.append((number, owner))
             case tables.SetShare(number, share, shut):
                 told.shares.append((number, share, shut))
-            case tables.SetOut(node, out):
+            case tables.SetWithdrawn(node, out):
                 told.out.append((node, out))
             case tables.SetNode(node, address):
                 told.nodes.append((node, *(address or ("", ""))))
     return told
 
 
-def changes(told: Turn) -> list[tables.Change]:
+def changes(told: Turn) -> list[tables.TableChange]:
     """In an order that is safe at every step: addresses and shutting out first, what is let in or forgotten
     last."""
-    made: list[tables.Change] = [
+    made: list[tables.TableChange] = [
         tables.SetNode(node, tables.Address(address, zone)) for node, address, zone in told.nodes if address
     ]
-    made += [tables.SetOut(node, True) for node, out in told.out if out]
-    made += [tables.SetLine(number, owner) for number, owner in told.lines]
+    made += [tables.SetWithdrawn(node, True) for node, out in told.out if out]
+    made += [tables.SetOwner(number, owner) for number, owner in told.lines]
     made += [tables.SetShare(number, share, shut) for number, share, shut in told.shares]
-    made += [tables.SetOut(node, False) for node, out in told.out if not out]
+    made += [tables.SetWithdrawn(node, False) for node, out in told.out if not out]
     made += [tables.SetNode(node, None) for node, address, _ in told.nodes if not address]
     if told.mark is not None:
-        made.append(tables.Asked(told.mark))
+        made.append(tables.BarrierRequest(told.mark))
     return made
 
 
@@ -236,10 +236,11 @@
     )
 
 
-def counted(told: Report) -> dict[str, dict[str, Counted]]:
+def counted(told: Report) -> dict[str, dict[str, ReportedCounts]]:
     """A report's rows; figures below nothing are a ValueError."""
     rows = {
-        node: {name: Counted(*row) for name, row in by_class.items()} for node, by_class in told.rows.items()
+        node: {name: ReportedCounts(*row) for name, row in by_class.items()}
+        for node, by_class in told.rows.items()
     }
     if any(min(row) < 0 for by_class in told.rows.values() for row in by_class.values()):
         raise ValueError("counts below nothing")
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -18,7 +18,7 @@
 from lapispass import interface
 from lapispass.core import tables
 from lapispass.core.membership import Members
-from lapispass.core.table_snapshot import Picture
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.core.takeover import Claim, Record, Takeover
 from lapispass.operator.read import Source
 from lapispass.peers import records
@@ -60,7 +60,7 @@
         self.takeover = Takeover(self.told.slices, self.lease.holder, linger_us=ttl_s * 100_000)
         self.writer = RecordWriter(self.service, self.lease, self.takeover, self.counters)
         self.snapshot = tables.Tables(self.told.slices)  # what all controllers together have published
-        self.mine = Picture(self.told.slices, self.told.classes, self.told.admits == "share")
+        self.mine = TableSnapshot(self.told.slices, self.told.classes, self.told.admits == "share")
         self.revision, self.read_at = 0, 0
         self.pending: deque[tuple[int, int]] = deque(maxlen=4096)  # our turn, the revision of others it shows
         self.answered = -1
@@ -126,7 +126,7 @@
 
     def take(self, changes: Sequence[Change], revision: int, whole: bool = False) -> None:
         """Records, lives, answers and nodes shut out; what others published goes to our clients."""
-        shown: list[tables.Change] = []
+        shown: list[tables.TableChange] = []
         concerns = whole
         if whole:
             there = {change.key for change in changes}
@@ -201,7 +201,7 @@
         self.members.forget(horizon)
         self.gone_at = {holder: at for holder, at in self.gone_at.items() if at > horizon}
 
-    def record(self, number: int, kv: Key) -> list[tables.Change]:
+    def record(self, number: int, kv: Key) -> list[tables.TableChange]:
         """A slice's record; what changes for our clients by it."""
         new = records.decode_slice(kv)
         if kv.changed < self.writer.known(number).revision:
@@ -211,21 +211,23 @@
             return []  # our own word, shown when it is known to be carried out
         return [
             change
-            for change in (tables.SetLine(number, new.owner), tables.SetShare(number, new.share, new.shut))
+            for change in (tables.SetOwner(number, new.owner), tables.SetShare(number, new.share, new.shut))
         ]
 
-    def shut(self, said: str, out: bool) -> list[tables.Change]:
+    def shut(self, said: str, out: bool) -> list[tables.TableChange]:
         """`controller/node`: a node is out while any controller says so. What one said ends with its
         session."""
         (self.out.add if out else self.out.discard)(said)
         node = said.partition("/")[2]
-        return [tables.SetOut(node, any(other.partition("/")[2] == node for other in self.out))]
+        return [tables.SetWithdrawn(node, any(other.partition("/")[2] == node for other in self.out))]
 
-    def show(self, changes: Sequence[tables.Change], mark: int | None) -> None:
+    def show(self, changes: Sequence[tables.TableChange], mark: int | None) -> None:
         """Published to our clients."""
         self.snapshot.nodes = dict(self.desk.addresses)
         published = [
-            change for change in changes if self.snapshot.apply(change) or isinstance(change, tables.SetOut)
+            change
+            for change in changes
+            if self.snapshot.apply(change) or isinstance(change, tables.SetWithdrawn)
         ]
         self.desk.publish(self.snapshot, published, mark)
 
@@ -316,7 +318,7 @@
             self.carry_out([order for order in orders if not isinstance(order, interface.Mark)])
             changes, mark = self.mine.turn(events, orders, self.desk.addresses)
             self.unreported.update(
-                {change.node: change.out for change in changes if isinstance(change, tables.SetOut)}
+                {change.node: change.out for change in changes if isinstance(change, tables.SetWithdrawn)}
             )
             if mark is None:
                 continue
@@ -337,10 +339,10 @@
                     continue
                 revision = written
             # What was carried out is shown, whoever holds the slice by now, if it is still its last word.
-            shown: list[tables.Change] = []
+            shown: list[tables.TableChange] = []
             for number, record in slices.items():
                 if self.takeover.records[number].revision == revision:
-                    shown.append(tables.SetLine(number, record.owner))
+                    shown.append(tables.SetOwner(number, record.owner))
                     shown.append(tables.SetShare(number, record.share, record.shut))
             if not self.lease.holds():
                 # Guards rule 2 against a pause: no mark is told by who may have been followed already.
@@ -385,15 +387,15 @@
         if record.owner and not record.shut:
             self.tell(interface.Held(number, record.owner))
 
-    def as_records(self, changes: Sequence[tables.Change]) -> dict[int, Record]:
+    def as_records(self, changes: Sequence[tables.TableChange]) -> dict[int, Record]:
         """A turn's changes of slices that are ours."""
         slices: dict[int, Record] = {}
         for change in changes:
             match change:
-                case tables.SetLine(number, _) | tables.SetShare(number, _, _) if (
+                case tables.SetOwner(number, _) | tables.SetShare(number, _, _) if (
                     number in self.takeover.acting
                 ):
-                    share = self.mine.stands.shares.get(number, tables.OPEN)
+                    share = self.mine.stands.shares.get(number, tables.DEFAULT_SHARE)
                     old = self.writer.known(number)
                     new = old._replace(
                         owner=self.mine.stands.owners.get(number), share=share.share, shut=share.shut
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -20,7 +20,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import TTL_FEATURE, Client, Doorway, Numbers, Step, Terms
-from lapispass.core.table_snapshot import Picture
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.core.versions import Shelf, Update
 from lapispass.net import log
 from lapispass.net.counters import Counters
@@ -69,7 +69,7 @@
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
         self.shelf = Shelf()
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
+        self.picture = TableSnapshot(deployment.slices, deployment.classes, deployment.admits == "share")
         resources.fixed(self.shelf, deployment.slices, max(1, deployment.usual_retry), terms.ttl_us)
         self.write_routes = WriteRoutes(self.shelf)
         self.numbers = Numbers(first_number, terms.lease_us)
@@ -93,7 +93,7 @@
         changes, mark = self.picture.turn(events, orders, self.addresses)
         self.publish(self.picture.stands, changes, mark)
 
-    def publish(self, stands: tables.Tables, changes: list[tables.Change], mark: int | None) -> None:
+    def publish(self, stands: tables.Tables, changes: list[tables.TableChange], mark: int | None) -> None:
         """Changes that stand already become versions; behind them a mark."""
         if not changes and mark is None:
             return
--- a/tests/support_core.py
+++ b/tests/support_core.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 from lapispass.core.admission import Allotment
-from lapispass.core.connection_controller import Counted, Keeper
-from lapispass.core.plans import NONE, Ceiling, Curve, Plan, Version
+from lapispass.core.connection_controller import ConnectionController, ReportedCounts
+from lapispass.core.plans import NO_VERSION, Ceiling, Curve, Plan, Version
 from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeView
-from lapispass.core.steering import Go, Steering
-from lapispass.core.tables import Address, SetLine, SetNode, slice_of
+from lapispass.core.steering import Admitted, Steering
+from lapispass.core.tables import Address, SetNode, SetOwner, slice_of
 
 BOARD = ConnectionClass("board", "/board", False, True, 1.0, 0.05)
 TILL = ConnectionClass("till", "/till", True, False, 3.0, 0.05)
@@ -36,7 +36,7 @@
     made = Steering(**{**told, **more})  # type: ignore[arg-type]
     names = [f"n{number}" for number in range(nodes)]
     made.apply([SetNode(name, Address("127.0.0.1:1", "east")) for name in names])
-    made.apply([SetLine(number, names[number % nodes]) for number in range(slices)])
+    made.apply([SetOwner(number, names[number % nodes]) for number in range(slices)])
     made.follow(NOW, Plan(Version(0, 1), {}, dict.fromkeys(names, ROOMY)))
     return made
 
@@ -52,21 +52,21 @@
 
 def opened(made: Steering, kind: ConnectionClass, key: str | None, now: int = NOW):
     go = made.arrive(now, kind, key)
-    assert isinstance(go, Go), go
+    assert isinstance(go, Admitted), go
     return made.stand(now, kind, go, key)
 
 
-def keeper(now: int = NOW, **bounds: object) -> Keeper:
-    return Keeper(
+def keeper(now: int = NOW, **bounds: object) -> ConnectionController:
+    return ConnectionController(
         (BOARD, TILL), Bounds(**bounds), DrainTerms(20 * SECOND, 2 * SECOND, SECOND // 2, 60 * SECOND), now
     )
 
 
-def rows(**held: int) -> dict[str, dict[str, Counted]]:
-    return {node: {"board": Counted(count)} for node, count in held.items()}
+def rows(**held: int) -> dict[str, dict[str, ReportedCounts]]:
+    return {node: {"board": ReportedCounts(count)} for node, count in held.items()}
 
 
-def joined(made: Keeper, gate: str, **held: int) -> None:
+def joined(made: ConnectionController, gate: str, **held: int) -> None:
     """A gate joins, and reports so many connections at each node."""
-    made.joined(NOW, gate, "east", NONE, {})
+    made.joined(NOW, gate, "east", NO_VERSION, {})
     made.told(NOW, gate, 1, rows(**held))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -11,8 +11,8 @@
 from support_core import NOW, ready
 
 from lapispass.core.admission import Admission, Demand, Intake, whole_parts
-from lapispass.core.costs import Costs
-from lapispass.core.limits import Rate, Returns
+from lapispass.core.costs import CostEstimator
+from lapispass.core.limits import RateLimiter, ReturnSlots
 from lapispass.core.shared_types import NEVER, SECOND, Bounds
 
 
@@ -21,7 +21,7 @@
 def test_a_rate_lets_no_span_have_more_than_its_burst_and_its_pace(
     per_s: float, burst: int, gaps: list[int]
 ) -> None:
-    rate, now, let = Rate(per_s, burst), NOW, []
+    rate, now, let = RateLimiter(per_s, burst), NOW, []
     for gap in gaps:
         now += gap
         wait = rate.wait_us(now)
@@ -36,7 +36,7 @@
 
 
 def test_a_slower_rate_owes_what_the_faster_one_took() -> None:
-    rate = Rate(100.0, 10)
+    rate = RateLimiter(100.0, 10)
     for _ in range(10):
         assert rate.take(NOW)
     rate.set(NOW, 1.0, 10)
@@ -44,24 +44,24 @@
 
 
 def test_returns_are_spread_and_never_beyond_the_most() -> None:
-    returns = Returns(20.0, SECOND // 2, 10 * SECOND, 9)
+    returns = ReturnSlots(20.0, SECOND // 2, 10 * SECOND, 9)
     delays = [returns.delay_us(NOW) for _ in range(1000)]
     assert min(delays) >= SECOND // 2 and max(delays) <= 10 * SECOND
     in_time = sorted(delays[:190])
     assert all(sum(at <= d < at + SECOND for d in in_time) <= 22 for at in in_time)
     late = sorted(delays[200:])  # folded back over the last half, not all at its end
     assert late[0] < 6 * SECOND and sum(d > 9 * SECOND for d in late) < 250
-    assert [Returns(20.0, 1, 10**7, 1).delay_us(NOW) for _ in range(3)] != [
-        Returns(20.0, 1, 10**7, 2).delay_us(NOW) for _ in range(3)
+    assert [ReturnSlots(20.0, 1, 10**7, 1).delay_us(NOW) for _ in range(3)] != [
+        ReturnSlots(20.0, 1, 10**7, 2).delay_us(NOW) for _ in range(3)
     ]
 
 
 def test_never_is_a_bound_and_no_time() -> None:
-    assert Rate(0.0).wait_us(NOW) == NEVER and not Rate(0.0).take(NOW)
+    assert RateLimiter(0.0).wait_us(NOW) == NEVER and not RateLimiter(0.0).take(NOW)
 
 
 def test_the_gates_own_bounds_come_first() -> None:
-    returns = Returns(10.0, SECOND, 60 * SECOND, 1)
+    returns = ReturnSlots(10.0, SECOND, 60 * SECOND, 1)
     admission = Admission(2, 1e6, 100, returns)
     assert admission.gate_full(NOW, 1) is None
     full = admission.gate_full(NOW, 2)
@@ -116,7 +116,7 @@
 
 
 def test_costs_are_learned_from_busy_shares_and_not_from_the_start_values() -> None:
-    chance, costs = random.Random(4), Costs(["board", "till"], {"board": 0.05, "till": 0.05})
+    chance, costs = random.Random(4), CostEstimator(["board", "till"], {"board": 0.05, "till": 0.05})
     real = {"board": 0.02, "till": 0.5}
     for _ in range(300):
         held = {"board": chance.randint(0, 1500), "till": chance.randint(0, 60)}
@@ -130,7 +130,7 @@
 
 
 def test_a_class_never_seen_keeps_its_start_value_and_noise_makes_no_cost_negative() -> None:
-    chance, costs = random.Random(5), Costs(["board", "never"], {"board": 0.05, "never": 0.3})
+    chance, costs = random.Random(5), CostEstimator(["board", "never"], {"board": 0.05, "never": 0.3})
     for _ in range(3000):
         costs.observe(
             chance.uniform(0.1, 0.9), chance.uniform(1, 90), {"board": chance.randint(0, 9)}, 1.0, True
--- a/tests/test_connection_controller.py
+++ b/tests/test_connection_controller.py
@@ -15,17 +15,17 @@
 from lapispass.controller import Controller
 from lapispass.core import drain
 from lapispass.core.admission import Intake
-from lapispass.core.plans import NONE, Version
+from lapispass.core.plans import NO_VERSION, Version
 from lapispass.core.shared_types import SECOND, Bounds
-from lapispass.core.table_snapshot import Picture
-from lapispass.core.tables import Address, SetLine, SetNode, SetOut, SetShare
+from lapispass.core.table_snapshot import TableSnapshot
+from lapispass.core.tables import Address, SetNode, SetOwner, SetShare, SetWithdrawn
 
 
 def test_a_drain_does_not_slow_down_where_reports_are_late() -> None:
     """Found in a benchmark: most of a drain fell on its last quarter, since each plan began at an old
     count."""
     made, gate = keeper(), steering(2)
-    made.joined(NOW, "g0", "east", NONE, {})
+    made.joined(NOW, "g0", "east", NO_VERSION, {})
     for _ in range(400):
         opened(gate, BOARD, None)
     late = [gate.book.count("n0")] * 8  # reports are 0.8 s old
@@ -60,7 +60,9 @@
 def test_ceilings_sink_evenly_to_nothing_by_their_deadline(drains, warm: int, cold: int) -> None:
     nodes = ready(*(f"w{n}" for n in range(warm))) + ready(*(f"c{n}" for n in range(cold)), born_us=NOW)
     intake = Intake(Bounds(connections=500, new_per_s=20, cold_us=20 * SECOND))
-    going = [drain.Leaving(f"d{n}", NOW + seconds * SECOND, held) for n, (seconds, held) in enumerate(drains)]
+    going = [
+        drain.DrainingNode(f"d{n}", NOW + seconds * SECOND, held) for n, (seconds, held) in enumerate(drains)
+    ]
     ceilings, outlook = drain.plan(NOW, going, nodes, {}, intake, {})
     for node in going:
         for gate, held in node.held.items():
@@ -71,15 +73,15 @@
     total = sum(sum(node.held.values()) for node in going)
     assert outlook.leaving == total and 0 <= outlook.unfitting <= total
     if outlook.unfitting == 0 and total:
-        rate = drain.DRAIN_PART * sum(intake.new_per_s(NOW + 60 * SECOND, node) for node in nodes)
+        rate = drain.DRAIN_SHARE * sum(intake.new_per_s(NOW + 60 * SECOND, node) for node in nodes)
         assert outlook.peak_per_s <= rate * 1.01 + 1
 
 
 def test_nodes_that_leave_together_are_planned_as_one_and_as_evenly_as_deadlines_let() -> None:
     nodes = ready(*(f"w{n}" for n in range(10)))
     going = [
-        drain.Leaving("a", NOW + 60 * SECOND, {"g": 5000}),
-        drain.Leaving("b", NOW + 30 * SECOND, {"g": 2000}),
+        drain.DrainingNode("a", NOW + 60 * SECOND, {"g": 5000}),
+        drain.DrainingNode("b", NOW + 30 * SECOND, {"g": 2000}),
     ]
     _, outlook = drain.plan(NOW, going, nodes, {}, Intake(Bounds()), {})
     assert outlook.peak_per_s == pytest.approx(7000 / 58, rel=0.02) and outlook.unfitting == 0
@@ -89,17 +91,17 @@
     nodes = ready("c0", "c1", born_us=NOW)
     bounds = Bounds(connections=10_000, new_per_s=100, cold_us=30 * SECOND, cold_share=0.1)
     _, outlook = drain.plan(
-        NOW, [drain.Leaving("a", NOW + 30 * SECOND, {"g": 1500})], nodes, {}, Intake(bounds), {}
+        NOW, [drain.DrainingNode("a", NOW + 30 * SECOND, {"g": 1500})], nodes, {}, Intake(bounds), {}
     )
     curve = next(iter(outlook.curves.values()))
     first = 1500 * (1 - curve.at(NOW + 3 * SECOND))
-    assert first <= 3 * 2 * 100 * 0.2 * drain.DRAIN_PART + 1 and outlook.unfitting == 0
+    assert first <= 3 * 2 * 100 * 0.2 * drain.DRAIN_SHARE + 1 and outlook.unfitting == 0
 
 
 def test_many_gates_with_one_connection_each_do_not_all_wait_for_the_last_moment() -> None:
     held = {f"g{n}": 1 for n in range(200)}
     ceilings, _ = drain.plan(
-        NOW, [drain.Leaving("a", NOW + 60 * SECOND, held)], ready("w"), {}, Intake(Bounds()), {}
+        NOW, [drain.DrainingNode("a", NOW + 60 * SECOND, held)], ready("w"), {}, Intake(Bounds()), {}
     )
     stands = [sum(lines["a"].at(NOW + s * SECOND) for lines in ceilings.values()) for s in range(61)]
     assert max(a - b for a, b in pairwise(stands)) < 15
@@ -155,7 +157,7 @@
 
 def test_nothing_is_planned_before_the_nodes_are_known() -> None:
     made = keeper()
-    made.joined(NOW, "g0", "east", NONE, {})
+    made.joined(NOW, "g0", "east", NO_VERSION, {})
     assert not made.look(NOW).plans
     made.see(NOW, ready("n0", state="unproven"))
     assert not made.look(NOW).plans
@@ -175,7 +177,7 @@
 
 def test_an_older_report_than_the_last_is_left_out() -> None:
     made = keeper()
-    made.joined(NOW, "g0", "east", NONE, {})
+    made.joined(NOW, "g0", "east", NO_VERSION, {})
     made.told(NOW, "g0", 2, rows(n0=5))
     made.told(NOW, "g0", 1, rows(n0=99))
     assert made.held() == {"n0": 5}
@@ -248,17 +250,17 @@
         interface.VisitClass("look", 1, 1, 1.0, False, False),
         interface.VisitClass("pay", 1, 1, 1.0, True, False),
     )
-    picture = Picture(4, kinds, True)
+    picture = TableSnapshot(4, kinds, True)
     changes, mark = picture.turn(
         [interface.Given(1, True), interface.Held(1, "a")], [], {"a": Address("x:1", "")}
     )
-    assert changes == [SetNode("a", Address("x:1", "")), SetLine(1, "a")] and mark is None
+    assert changes == [SetNode("a", Address("x:1", "")), SetOwner(1, "a")] and mark is None
     changes, mark = picture.turn([], [interface.Empty(1), interface.Mark(9, True)], {"a": Address("x:1", "")})
-    assert changes == [SetLine(1, None)] and mark == 9
+    assert changes == [SetOwner(1, None)] and mark == 9
     changes, _ = picture.turn(
         [], [interface.Own(1, "b", 1.0), interface.Admit(1, 2, 1, 0.0)], {"a": Address("x:1", "")}
     )
-    assert changes == [SetLine(1, "b"), SetShare(1, 0.5, True)]
+    assert changes == [SetOwner(1, "b"), SetShare(1, 0.5, True)]
     changes, _ = picture.turn([], [interface.Admit(None, 3, 1, 1.0), interface.Withdraw("b", True)], {})
-    assert SetShare(1, 1.0, False) in changes and SetOut("b", True) in changes
+    assert SetShare(1, 1.0, False) in changes and SetWithdrawn("b", True) in changes
     assert picture.turn([interface.Given(1, True), interface.Held(1, "b")], [], {})[0] == []
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -68,16 +68,16 @@
 )
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_when_one_leaves_only_its_slices_move(members: dict[str, float], leaver: str) -> None:
-    before = ownership.shares(300, members)
+    before = ownership.preferred_owners(300, members)
     left = {name: weight for name, weight in members.items() if name != leaver}
-    after = ownership.shares(300, left)
+    after = ownership.preferred_owners(300, left)
     assert all(after[number] == holder for number, holder in before.items() if holder != leaver)
 
 
 def test_shares_follow_weights_and_a_weight_of_nothing_takes_none() -> None:
-    counts = Counter(ownership.shares(6000, {"a": 1.0, "b": 2.0, "c": 0.0}).values())
+    counts = Counter(ownership.preferred_owners(6000, {"a": 1.0, "b": 2.0, "c": 0.0}).values())
     assert 0.28 < counts["a"] / 6000 < 0.39 and "c" not in counts
-    assert ownership.shares(3, {}) == {}
+    assert ownership.preferred_owners(3, {}) == {}
 
 
 def test_a_slice_of_a_dead_one_is_claimed_after_the_wait_and_under_a_higher_epoch() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -133,9 +133,9 @@
     known = Members()
     come, gone = known.seen({name: (weight, "1") for name, weight in weights.items()}, 5)
     assert len(come) == MANY and not gone and known.alive() == weights
-    shares = ownership.shares(200, weights)
+    shares = ownership.preferred_owners(200, weights)
     assert len(shares) == 200 and len(set(shares.values())) > 150
-    assert ownership.shares(200, dict(reversed(weights.items()))) == shares
+    assert ownership.preferred_owners(200, dict(reversed(weights.items()))) == shares
 
 
 def test_an_operator_file_of_1024_nodes_is_taken_and_its_findings_named(tmp_path) -> None:
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -12,9 +12,9 @@
 from lapispass.core.admission import Allotment, Refused
 from lapispass.core.plans import Plan, Version
 from lapispass.core.shared_types import SECOND
-from lapispass.core.steering import Go, Unfit
-from lapispass.core.tables import Asked, SetLine, SetOut, SetShare, Tables, slice_of
-from lapispass.core.write_barriers import Fences, Lease
+from lapispass.core.steering import Admitted, Unsupported
+from lapispass.core.tables import BarrierRequest, SetOwner, SetShare, SetWithdrawn, Tables, slice_of
+from lapispass.core.write_barriers import WriteBarriers, WriteLease
 
 
 @given(
@@ -30,12 +30,12 @@
     first, second = Tables(6), Tables(6)
     for tables, lines, out in ((first, there, out_there), (second, here, out_here)):
         for number, owner in lines:
-            tables.apply(SetLine(number, owner))
+            tables.apply(SetOwner(number, owner))
             tables.apply(
                 SetShare(number, 0.5, number % 2 == 0) if owner == "a" else SetShare(number, 1.0, False)
             )
         for node in out:
-            tables.apply(SetOut(node, True))
+            tables.apply(SetWithdrawn(node, True))
     made = list(second.differences(first))
     for change in made + made:
         first.apply(change)
@@ -51,11 +51,11 @@
     made = steering()
     till = opened(made, TILL, key_of(0))
     made.wrote(NOW, till, 10)
-    effects = made.apply([SetLine(0, None), Asked(7)])
+    effects = made.apply([SetOwner(0, None), BarrierRequest(7)])
     assert effects.stopped == [till.number] and effects.answers == []
     assert not made.may_write(NOW, till)
     assert made.proven(till, till.written) == [7]
-    assert made.apply([SetLine(0, "n1"), Asked(8)]).answers == [8]
+    assert made.apply([SetOwner(0, "n1"), BarrierRequest(8)]).answers == [8]
     assert not made.may_write(NOW, till)  # it stands at the former owner
 
 
@@ -64,14 +64,14 @@
     till = opened(made, TILL, key_of(0))
     made.wrote(NOW, till, 10)
     assert made.proven(till, 1) == []
-    assert made.apply([SetLine(0, None), Asked(7)]).answers == [7]
+    assert made.apply([SetOwner(0, None), BarrierRequest(7)]).answers == [7]
 
 
 def test_a_message_that_has_begun_holds_up_the_mark_to_its_end() -> None:
     made = steering()
     till = opened(made, TILL, key_of(0))
     till.inside = True
-    assert made.apply([SetLine(0, None), Asked(7)]).answers == []
+    assert made.apply([SetOwner(0, None), BarrierRequest(7)]).answers == []
     made.wrote(NOW, till, 10)
     till.inside = False
     assert made.proven(till, 1) == [7]
@@ -83,17 +83,17 @@
     till = opened(made, TILL, key_of(0))
     made.wrote(NOW, till, 10)
     pinged = till.written
-    made.apply([SetLine(0, None), Asked(1)])
-    made.apply([SetLine(0, "n0"), Asked(2)])
+    made.apply([SetOwner(0, None), BarrierRequest(1)])
+    made.apply([SetOwner(0, "n0"), BarrierRequest(2)])
     assert made.may_write(NOW, till)
     made.wrote(NOW, till, 10)
     made.proven(till, pinged)  # late
     assert till.unproven
-    assert made.apply([SetLine(0, None), Asked(3)]).answers == []
+    assert made.apply([SetOwner(0, None), BarrierRequest(3)]).answers == []
 
 
 def test_marks_are_answered_in_order_and_a_new_stream_forgets_them_but_not_what_is_owed() -> None:
-    fences = Fences()
+    fences = WriteBarriers()
     fences.stop(1)
     fences.ask(1)
     fences.ask(2)
@@ -106,7 +106,7 @@
 
 
 def test_the_lease_counts_from_when_the_answered_beat_was_sent() -> None:
-    lease = Lease(1000, 200)
+    lease = WriteLease(1000, 200)
     lease.renew(50)
     lease.renew(20)
     assert lease.holds(849) and not lease.holds(850)
@@ -114,7 +114,7 @@
 
 def test_a_lease_that_the_controller_shortens_still_lets_writes_through() -> None:
     """Found in a benchmark: stopped 1.5 s early, a lease of 1.5 s never held."""
-    lease = Lease(3 * SECOND, 3 * SECOND)
+    lease = WriteLease(3 * SECOND, 3 * SECOND)
     lease.length_us = SECOND
     lease.renew(NOW)
     assert lease.holds(NOW + SECOND // 4) and not lease.holds(NOW + SECOND // 2)
@@ -142,7 +142,7 @@
     assert not made.may_write(NOW, till)
     made.apply([SetShare(0, 1.0, False)])
     assert made.may_write(NOW, till)
-    made.apply([SetOut("n0", True)])
+    made.apply([SetWithdrawn("n0", True)])
     assert not made.may_write(NOW, till)
 
 
@@ -179,7 +179,9 @@
             case 2:
                 mark += 1
                 number = chance.randrange(8)
-                effects = made.apply([SetLine(number, chance.choice([None, "n0", "n1", "n2"])), Asked(mark)])
+                effects = made.apply(
+                    [SetOwner(number, chance.choice([None, "n0", "n1", "n2"])), BarrierRequest(mark)]
+                )
                 changed[number] = mark
                 asked.append(mark)
                 pings += [(number, made.book.by_number[number].written) for number in effects.stopped]
@@ -201,14 +203,14 @@
     made = steering()
     for number in range(8):
         go = made.arrive(NOW, TILL, key_of(number))
-        assert go == Go(f"n{number % 2}", number)
-    made.apply([SetLine(0, None)])
+        assert go == Admitted(f"n{number % 2}", number)
+    made.apply([SetOwner(0, None)])
     refused = made.arrive(NOW, TILL, key_of(0))
     assert isinstance(refused, Refused) and refused.retry_after_us >= SECOND // 2
 
 
 def test_a_writer_without_a_key_is_unfit() -> None:
-    assert isinstance(steering().arrive(NOW, TILL, None), Unfit)
+    assert isinstance(steering().arrive(NOW, TILL, None), Unsupported)
 
 
 def test_quiet_screens_go_where_room_is_and_not_to_a_node_that_leaves() -> None:
@@ -236,7 +238,7 @@
     answer = made.arrive(NOW, BOARD, None)
     assert isinstance(answer, Refused) and answer.why == "nodes full"
     made.gone(next(iter(made.book)))
-    assert isinstance(made.arrive(NOW, BOARD, None), Go)
+    assert isinstance(made.arrive(NOW, BOARD, None), Admitted)
 
 
 def test_what_fails_on_the_way_gives_its_place_back() -> None:
@@ -244,7 +246,7 @@
     made.follow(NOW, Plan(Version(0, 2), {}, {"n0": Allotment(1, 1.0, 1)}))
     for _ in range(5):
         go = made.arrive(NOW, BOARD, None)
-        assert isinstance(go, Go)
+        assert isinstance(go, Admitted)
         made.fail(go.node)
     assert made.held_at("n0") == 0 and not made.coming
 
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -55,7 +55,7 @@
         table.owners.clear()
     else:
         table.owners = dict.fromkeys(range(2), owner)
-    resources.follow(made, table, [tables.SetLine(number, owner) for number in range(2)], turn)
+    resources.follow(made, table, [tables.SetOwner(number, owner) for number in range(2)], turn)
 
 
 # versions
@@ -192,7 +192,7 @@
                 turn += 1
                 table = stands(slices=1)
                 table.owners = {0: owner} if owner else {}
-                resources.follow(made, table, [tables.SetLine(0, owner)], turn)
+                resources.follow(made, table, [tables.SetOwner(0, owner)], turn)
             case "send":
                 update = one.due(NOW, 100)
                 if update is not None:
@@ -232,7 +232,7 @@
         if what == "publish":
             table = stands(slices=1)
             table.owners = {0: owner} if owner else {}
-            resources.follow(made, table, [tables.SetLine(0, owner)], turn)
+            resources.follow(made, table, [tables.SetOwner(0, owner)], turn)
         elif what == "send":
             one.due(NOW, 100)
         elif one.out is not None:
@@ -439,9 +439,9 @@
     table.apply(tables.SetShare(0, 0.25, True))
     assert resources.assignment(table, 0, True).endpoints == ()
     assert resources.assignment(table, 0, False).drop_per_million == 750_000
-    table.apply(tables.SetOut("a", True))
+    table.apply(tables.SetWithdrawn("a", True))
     assert resources.assignment(table, 0, False).endpoints == ()
-    table.apply(tables.SetLine(1, None))
+    table.apply(tables.SetOwner(1, None))
     assert resources.assignment(table, 1, False).endpoints == ()
 
 
