--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -479,16 +479,16 @@
             iter(range(100 * SECOND, 1 << 60, LOOK_US)),
         )
         views = [NodeView(name, "z01", "ready", 1.0, 0) for name in names(count)]
-        keeper.joined(next(clock), "g0", "z01", nothing, {})
-        keeper.told(
+        keeper.gate_joined(next(clock), "g0", "z01", nothing, {})
+        keeper.report_received(
             next(clock), "g0", 1, {name: {"board": ReportedCounts(30, 1, 20, 4000)} for name in names(count)}
         )
 
         def ten() -> None:
             for _ in range(10):
                 now = next(clock)
-                keeper.see(now, views)
-                keeper.look(now)
+                keeper.update_nodes(now, views)
+                keeper.evaluate(now)
 
         return ten
 
--- a/benchmarks/held_at_size.py
+++ b/benchmarks/held_at_size.py
@@ -82,15 +82,15 @@
     }
     owners = {number: names[number % told.nodes] for number in range(slices)}
     for gate in gates:
-        made[gate].apply([SetNode(name, Address("x:1", "")) for name in names])
-        made[gate].apply([SetOwner(number, owner) for number, owner in owners.items()])
-    warm = [name for name in names if not nodes[name].view.born_us]
+        made[gate].apply_changes([SetNode(name, Address("x:1", "")) for name in names])
+        made[gate].apply_changes([SetOwner(number, owner) for number, owner in owners.items()])
+    warm = [name for name in names if not nodes[name].view.started_us]
     for place in range(told.connections):  # what stands when the day begins
         steering = made[gates[place % told.gates]]
         kind = KINDS[int(chance.random() < 0.2)]
         name = warm[place % len(warm)]
-        held = steering.stand(now, kind, Admitted(name, None), None)
-        held.last_us = now - int(chance.integers(0, 60 * SECOND))
+        held = steering.established(now, kind, Admitted(name, None), None)
+        held.last_message_us = now - int(chance.integers(0, 60 * SECOND))
         nodes[name].held += 1
     keeper = ConnectionController(KINDS, bounds, terms, now - 10 * SECOND)
     serial = 0
@@ -101,23 +101,23 @@
         for gate in gates:
             rows = {
                 node: {kind: ReportedCounts(row.held, row.opened) for kind, row in by_class.items()}
-                for node, by_class in made[gate].book.report().items()
+                for node, by_class in made[gate].connections.report().items()
             }
-            keeper.told(now, gate, serial, rows)
+            keeper.report_received(now, gate, serial, rows)
 
     for gate in gates:
-        keeper.joined(now, gate, "", Version(-1, -1), {})
+        keeper.gate_joined(now, gate, "", Version(-1, -1), {})
     report(now)
-    keeper.see(now, [node.view for node in nodes.values()])
-    for gate, plan in keeper.look(now).plans.items():
-        made[gate].follow(now, plan)
+    keeper.update_nodes(now, [node.view for node in nodes.values()])
+    for gate, plan in keeper.evaluate(now).plans.items():
+        made[gate].apply_plan(now, plan)
 
     leaving = [name for name in names if nodes[name].view.zone in ("z0", "z1")]
     begun, costs = now, []
     for name in leaving:
         nodes[name].view.state = "out"
     for gate in gates:
-        made[gate].apply([SetWithdrawn(name, True) for name in leaving])
+        made[gate].apply_changes([SetWithdrawn(name, True) for name in leaving])
     returning: list[tuple[int, int, str]] = []
     order, refusals, most_closed, moved, closed, back = 0, 0, 0, 0, 0, 0
     waits: list[int] = []
@@ -130,13 +130,13 @@
         if (now - begun) % SECOND == 0 and now <= deadline:
             report(now)
         if now <= deadline + SECOND:
-            keeper.see(now, [node.view for node in nodes.values()])
+            keeper.update_nodes(now, [node.view for node in nodes.values()])
             before = time.perf_counter()
-            plans = keeper.look(now).plans
+            plans = keeper.evaluate(now).plans
             if plans:
                 costs.append(time.perf_counter() - before)
             for gate, plan in plans.items():
-                made[gate].follow(
+                made[gate].apply_plan(
                     now, plan if how == "plan" else other_plan(how, plan, made[gate], now, deadline, terms)
                 )
         this_tick = 0
@@ -144,10 +144,10 @@
         for gate in gates:
             steering = made[gate]
             for release in steering.tick(now, TICK):
-                held = steering.book.by_number[release.number]
+                held = steering.connections.by_number[release.number]
                 this_tick += 1
                 nodes[held.node].held -= 1
-                target = steering.target(now, held) if release.how == "move" and how == "plan" else None
+                target = steering.move_target(now, held) if release.how == "move" and how == "plan" else None
                 if isinstance(target, Admitted):
                     nodes[target.node].open(now, bounds)
                     steering.moved(now, held, target)
@@ -162,7 +162,7 @@
                 closed += 1
                 order += 1
                 heapq.heappush(returning, (now + wait, order, gate))
-                steering.gone(held)
+                steering.closed(held)
         if this_tick:
             done_at = now
         most_closed = max(most_closed, this_tick)
@@ -170,7 +170,7 @@
             _, _, gate = heapq.heappop(returning)
             steering = made[gate]
             if how == "plan":
-                go = steering.place(now, ())
+                go = steering.choose_node(now, ())
             else:
                 go = Admitted(stays[int(chance.integers(len(stays)))], None) if stays else None
             if not isinstance(go, Admitted):
@@ -180,22 +180,24 @@
                 heapq.heappush(returning, (now + max(wait, TICK), order, gate))
                 continue
             if how != "plan":
-                steering.coming[go.node] = steering.coming.get(go.node, 0) + 1
-            steering.stand(now, KINDS[1], go, None)
+                steering.opening[go.node] = steering.opening.get(go.node, 0) + 1
+            steering.established(now, KINDS[1], go, None)
             nodes[go.node].open(now, bounds)
             back += 1
     ready = [node for node in nodes.values() if node.view.state == "ready"]
-    cold = [node for node in ready if node.view.born_us]
+    cold = [node for node in ready if node.view.started_us]
     return {
         "nodes leaving": len(leaving),
         "held there": moved + closed,
         "moved": moved,
         "closed": closed,
         "all gone after s": (done_at - begun) / SECOND,
-        "left at the deadline": sum(made[g].book.count(n) for g in gates for n in leaving),
+        "left at the deadline": sum(made[g].connections.count(n) for g in gates for n in leaving),
         "most ends in 0.1 s": most_closed,
         "peak new at a cold node, share of what it takes": max((n.peak_new for n in cold), default=0.0),
-        "peak new at a warm node, share": max((n.peak_new for n in ready if not n.view.born_us), default=0.0),
+        "peak new at a warm node, share": max(
+            (n.peak_new for n in ready if not n.view.started_us), default=0.0
+        ),
         "peak held, share": max(n.peak_held for n in ready),
         "nodes fallen over": sum(n.fell for n in ready),
         "refused on return": refusals,
@@ -210,7 +212,7 @@
     """The baselines: everything now, or evenly without a look at the destinations."""
     ceilings = {}
     for name in plan.ceilings:
-        count = steering.book.count(name)
+        count = steering.connections.count(name)
         old = steering.plan.ceilings.get(name)
         end = now if how == "at once" else deadline - terms.margin_us
         begun = max(end, now + 1)
--- a/lapispass/core/admission.py
+++ b/lapispass/core/admission.py
@@ -84,10 +84,10 @@
         if node in self.rates:
             self.rates[node].give_back()
 
-    def refused(self, now: int, why: str, wait_us: int = 0) -> Refused:
+    def refuse(self, now: int, why: str, wait_us: int = 0) -> Refused:
         """A refusal with a slot to come back in, no sooner than the wait."""
         slot = self.returns.delay_us(now)
-        return Refused(why, max(slot, wait_us) if wait_us < self.returns.most_us else slot)
+        return Refused(why, max(slot, wait_us) if wait_us < self.returns.max_us else slot)
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
     shared."""
 
     held: int = 0
-    arriving: float = 0.0
+    arrival_rate: float = 0.0
 
 
 class Intake:
@@ -106,12 +106,16 @@
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
 
-    def most_held(self, now: int, node: NodeView) -> int:
+    def max_held(self, now: int, node: NodeView) -> int:
         """How many connections a node may hold now; one that takes nothing new keeps what it has."""
         return int(self.bounds.connections * node.weight * node.warmth(now, self.bounds))
 
     def new_per_s(self, now: int, node: NodeView) -> float:
-        return self.bounds.new_per_s * node.weight * node.warmth(now, self.bounds) if node.takes else 0.0
+        return (
+            self.bounds.new_per_s * node.weight * node.warmth(now, self.bounds)
+            if node.accepts_connections
+            else 0.0
+        )
 
     def allot(
         self, now: int, node: NodeView, demands: Mapping[str, Demand], full: float = 1.0, kept: int = 0
@@ -126,16 +130,16 @@
         """
         if not demands:
             return {}
-        most = int(self.most_held(now, node) * full)
+        most = int(self.max_held(now, node) * full)
         held = kept + sum(demand.held for demand in demands.values())
-        room = max(0, most - held) if node.takes else 0
+        room = max(0, most - held) if node.accepts_connections else 0
         rate = self.new_per_s(now, node)
         together = max(1, int(self.bounds.burst * node.weight * node.warmth(now, self.bounds)))
-        served = self.served(now, node.node, demands, together)
-        arriving = sum(demands[gate].arriving for gate in served)
+        served = self.eligible_gates(now, node.node, demands, together)
+        arriving = sum(demands[gate].arrival_rate for gate in served)
         even = 1 / len(served)
         shares = {
-            gate: 0.5 * even + 0.5 * (demands[gate].arriving / arriving if arriving > 0 else even)
+            gate: 0.5 * even + 0.5 * (demands[gate].arrival_rate / arriving if arriving > 0 else even)
             for gate in served
         }
         rooms = whole_parts(room, shares)
@@ -145,7 +149,7 @@
             for gate, demand in demands.items()
         }
 
-    def served(self, now: int, node: NodeId, demands: Mapping[str, Demand], most: int) -> list[str]:
+    def eligible_gates(self, now: int, node: NodeId, demands: Mapping[str, Demand], most: int) -> list[str]:
         """The gates that may send new ones to a node for now; all of them where its burst reaches for all.
 
         Guards rule 4 where gates are many: each may send one at any moment, so twenty could send twenty at
@@ -158,7 +162,7 @@
 
         def score(gate: str) -> float:
             drawn = (xxhash.xxh64_intdigest(f"{gate} {node} {epoch}".encode()) + 1) / (1 << 64)
-            return (0.1 + demands[gate].arriving) / -log(min(drawn, 1 - 1e-12))
+            return (0.1 + demands[gate].arrival_rate) / -log(min(drawn, 1 - 1e-12))
 
         return sorted(sorted(demands, key=score, reverse=True)[:most])
 
--- a/lapispass/core/connection_controller.py
+++ b/lapispass/core/connection_controller.py
@@ -43,14 +43,14 @@
 
     name: str
     zone: str
-    joined: bool = True
-    left_at: int = 0
-    heard_at: int = 0
+    connected: bool = True
+    disconnected_at: int = 0
+    reported_at: int = 0
     serial: int = -1
     rows: dict[NodeId, dict[str, ReportedCounts]] = field(default_factory=dict)
-    arriving: dict[NodeId, float] = field(default_factory=dict)  # new ones a second, faded
+    arrival_rates: dict[NodeId, float] = field(default_factory=dict)  # new ones a second, faded
     refused: float = 0.0
-    sent: Plan = field(default_factory=lambda: Plan(NO_VERSION))
+    last_plan: Plan = field(default_factory=lambda: Plan(NO_VERSION))
 
     def held(self, node: NodeId) -> int:
         return sum(row.held for row in self.rows.get(node, {}).values())
@@ -79,36 +79,40 @@
         self.gates: dict[str, GateState] = {}
         self.nodes: dict[NodeId, NodeView] = {}
         self.drains: dict[NodeId, int] = {}  # deadlines, of nodes that leave now
-        self.adopted: dict[
+        self.inherited_drains: dict[
             NodeId, int
         ] = {}  # deadlines that gates still know, of nodes not seen to leave yet
-        self.life, self.number = now, 0
-        self.begun, self.planned_at, self.pressing = now, 0, True
+        self.incarnation, self.plan_number = now, 0
+        self.started_at, self.planned_at, self.replan_needed = now, 0, True
         self.loads: dict[NodeId, float] = {}
-        self.outlook = drain.DrainForecast()
+        self.forecast = drain.DrainForecast()
 
     # what gates tell
 
-    def joined(self, now: int, gate: str, zone: str, version: Version, left_us: Mapping[NodeId, int]) -> None:
+    def gate_joined(
+        self, now: int, gate: str, zone: str, version: Version, left_us: Mapping[NodeId, int]
+    ) -> None:
         """A gate's stream stands. What is left of its drains is kept to; a plan of a later life than ours
         is outdone."""
         book = self.gates.setdefault(gate, GateState(gate, zone))
-        book.zone, book.joined, book.serial, book.heard_at = zone, True, -1, now
-        book.sent = Plan(NO_VERSION)
-        if version.life >= self.life:  # Guards against a clock that went back between two lives.
-            self.life, self.number = version.life + 1, 0
+        book.zone, book.connected, book.serial, book.reported_at = zone, True, -1, now
+        book.last_plan = Plan(NO_VERSION)
+        if (
+            version.incarnation >= self.incarnation
+        ):  # Guards against a clock that went back between two lives.
+            self.incarnation, self.plan_number = version.incarnation + 1, 0
         for node, left in left_us.items():
             deadline = now + left
-            known = self.drains if node in self.drains else self.adopted
+            known = self.drains if node in self.drains else self.inherited_drains
             known[node] = min(known.get(node, deadline), deadline)
-        self.pressing = True
+        self.replan_needed = True
 
-    def left(self, now: int, gate: str) -> None:
+    def gate_left(self, now: int, gate: str) -> None:
         """Its stream ended; what it held counts for a while, then it is forgotten."""
         if book := self.gates.get(gate):
-            book.joined, book.left_at = False, now
+            book.connected, book.disconnected_at = False, now
 
-    def told(
+    def report_received(
         self, now: int, gate: str, serial: int, rows: Mapping[NodeId, Mapping[str, ReportedCounts]]
     ) -> None:
         """All that a gate holds, and what passed since its last report. An older report than the last is
@@ -116,46 +120,46 @@
         book = self.gates.get(gate)
         if book is None or serial <= book.serial:
             return
-        took = max(SECOND // 100, now - book.heard_at)
-        book.serial, book.heard_at = serial, now
+        took = max(SECOND // 100, now - book.reported_at)
+        book.serial, book.reported_at = serial, now
         book.rows = {node: dict(by_class) for node, by_class in rows.items()}
         fade = 0.5 ** (took / (4 * SECOND))
-        for node in book.arriving.keys() | rows.keys():
+        for node in book.arrival_rates.keys() | rows.keys():
             opened = sum(row.opened for row in rows.get(node, {}).values())
-            rate = book.arriving.get(node, 0.0) * fade + (1 - fade) * opened * SECOND / took
-            book.arriving[node] = rate
+            rate = book.arrival_rates.get(node, 0.0) * fade + (1 - fade) * opened * SECOND / took
+            book.arrival_rates[node] = rate
             if rate < 0.001 and node not in rows:
-                del book.arriving[node]
+                del book.arrival_rates[node]
         for name in self.classes:
             held = sum(by_class[name].held for by_class in rows.values() if name in by_class)
             passed = sum(by_class[name].messages for by_class in rows.values() if name in by_class)
-            self.costs.heard(name, held, passed * SECOND / took)
+            self.costs.observe_messages(name, held, passed * SECOND / took)
 
     # what the module tells
 
-    def see(self, now: int, views: Iterable[NodeView]) -> None:
+    def update_nodes(self, now: int, views: Iterable[NodeView]) -> None:
         """How the module sees the nodes now. A change of state is planned for at once."""
         nodes = {view.node: view for view in views}
         if {node: view.state for node, view in nodes.items()} != {n: v.state for n, v in self.nodes.items()}:
-            self.pressing = True
+            self.replan_needed = True
         self.nodes = nodes
         for node, view in nodes.items():
-            if view.leaves and node not in self.drains:
-                self.drains[node] = self.adopted.pop(node, now + self.terms.usable_us)
-            elif not view.leaves:
+            if view.draining and node not in self.drains:
+                self.drains[node] = self.inherited_drains.pop(node, now + self.terms.usable_us)
+            elif not view.draining:
                 self.drains.pop(node, None)  # called off, or it is back: what is still there stays
         for node in self.drains.keys() - nodes.keys():
             del self.drains[node]
-        if now > self.begun + SETTLE_US:
-            self.adopted.clear()  # drains that only gates knew of, and the list does not
+        if now > self.started_at + SETTLE_US:
+            self.inherited_drains.clear()  # drains that only gates knew of, and the list does not
         for view in nodes.values():
-            if view.busy:
+            if view.utilization:
                 self.costs.observe(
-                    view.busy,
-                    view.pace,
+                    view.utilization,
+                    view.requests_per_s,
                     self.held_by_class(view.node),
                     view.weight or 1.0,
-                    view.takes and view.warmth(now, self.intake.bounds) >= 1,
+                    view.accepts_connections and view.warmth(now, self.intake.bounds) >= 1,
                 )
 
     # books
@@ -191,21 +195,23 @@
         slice, however little work it has.
         """
         held = self.held_by_class(node.node)
-        most = max(1, self.intake.most_held(now, node))
-        able = (self.costs.speed() or usual) * (node.weight or 1.0)
+        most = max(1, self.intake.max_held(now, node))
+        able = (self.costs.capacity() or usual) * (node.weight or 1.0)
         return max(self.costs.load(held), able * min(1.0, sum(held.values()) / most))
 
     # looks
 
-    def look(self, now: int) -> ControllerOutput:
+    def evaluate(self, now: int) -> ControllerOutput:
         """Called often; plans are made when something has changed, and else once a second."""
         orders = ControllerOutput()
         for name in [
-            n for n, b in self.gates.items() if not b.joined and now > b.left_at + GATE_RETENTION_US
+            n
+            for n, b in self.gates.items()
+            if not b.connected and now > b.disconnected_at + GATE_RETENTION_US
         ]:
             del self.gates[name]
-            self.pressing = True
-        paces = [view.pace for view in self.nodes.values() if view.pace]
+            self.replan_needed = True
+        paces = [view.requests_per_s for view in self.nodes.values() if view.requests_per_s]
         usual = sum(paces) / len(paces) if paces else 1.0
         for node, view in self.nodes.items():
             load = round(self.load(view, now, usual), 2)
@@ -214,9 +220,9 @@
                 self.loads[node] = orders.loads[node] = load
         for node in self.loads.keys() - self.nodes.keys():
             del self.loads[node]
-        if self.settled(now) and (self.pressing or now >= self.planned_at + REPLAN_US):
-            self.pressing, self.planned_at = False, now
-            self.plan(now, orders)
+        if self.settled(now) and (self.replan_needed or now >= self.planned_at + REPLAN_US):
+            self.replan_needed, self.planned_at = False, now
+            self.make_plans(now, orders)
         return orders
 
     def settled(self, now: int) -> bool:
@@ -227,20 +233,20 @@
             "out",
             "ill",
         }  # where all leave at once, nobody is ready, and drains are kept all the same
-        return bool(known) and ("unproven" not in states or now > self.begun + SETTLE_US)
+        return bool(known) and ("unproven" not in states or now > self.started_at + SETTLE_US)
 
-    def plan(self, now: int, orders: ControllerOutput) -> None:
+    def make_plans(self, now: int, orders: ControllerOutput) -> None:
         """A plan for each gate that stands; one that says what stands already is not sent again."""
-        standing = [book for book in self.gates.values() if book.joined]
+        standing = [book for book in self.gates.values() if book.connected]
         if not standing:
             return
         held = self.held()
-        full = {node: self.free_part(view) for node, view in self.nodes.items()}
+        full = {node: self.free_share(view) for node, view in self.nodes.items()}
         leaving = [
             drain.DrainingNode(
                 node,
                 max(deadline, now + SECOND // 10),
-                {book.name: count for book in standing if (count := self.to_go(now, book, node))},
+                {book.name: count for book in standing if (count := self.remaining(now, book, node))},
             )
             for node, deadline in sorted(self.drains.items())
         ]
@@ -250,22 +256,22 @@
                 ceilings.setdefault(book.name, {}).setdefault(
                     node.node, Ceiling(Curve(((now, 0.0),), node.deadline_us), 0, 0.0)
                 )
-        if outlook.leaving and (outlook.leaving, outlook.unfitting) != (
-            self.outlook.leaving,
-            self.outlook.unfitting,
+        if outlook.connections and (outlook.connections, outlook.overflow) != (
+            self.forecast.connections,
+            self.forecast.overflow,
         ):
             orders.notes.append(
-                f"{len(leaving)} nodes leave with {outlook.leaving} connections, "
+                f"{len(leaving)} nodes leave with {outlook.connections} connections, "
                 f"{outlook.peak_per_s:.1f}/s at most of {outlook.intake_per_s:.1f}/s, "
-                f"{outlook.unfitting} come back later than the grace"
+                f"{outlook.overflow} come back later than the grace"
             )
-        self.outlook = outlook
+        self.forecast = outlook
         allotted = self.allot(now, standing, full)
-        returns = self.returns(now, standing)
-        self.number += 1
+        returns = self.return_rates(now, standing)
+        self.plan_number += 1
         for book in standing:
             new = Plan(
-                Version(self.life, self.number),
+                Version(self.incarnation, self.plan_number),
                 ceilings.get(book.name, {}),
                 allotted.get(book.name, {}),
                 returns[book.name],
@@ -273,24 +279,24 @@
                 self.terms.come_back_most_us,
                 frozenset(node for node, view in self.nodes.items() if view.state == "gone"),
             )
-            if not close_enough(book.sent, new, now):
-                book.sent = orders.plans[book.name] = new
+            if not close_enough(book.last_plan, new, now):
+                book.last_plan = orders.plans[book.name] = new
 
-    def to_go(self, now: int, book: GateState, node: NodeId) -> int:
+    def remaining(self, now: int, book: GateState, node: NodeId) -> int:
         """What a gate holds at a node that leaves, as its plan has it by now.
 
         Guards against a drain that slows down with each plan: reports are late, and a line that began anew
         at the count they tell would lie above what stands, so that nobody went until it had sunk to that.
         """
         held = book.held(node)
-        line = book.sent.ceilings.get(node)
+        line = book.last_plan.ceilings.get(node)
         return held if line is None else min(held, line.at(now))
 
-    def free_part(self, view: NodeView) -> float:
+    def free_share(self, view: NodeView) -> float:
         """The part of a node that its visits leave to connections; a tenth at least, while speeds are only
         learned."""
-        able = self.costs.speed() * (view.weight or 1.0)
-        return max(0.1, 1 - view.pace / able) if able else 1.0
+        able = self.costs.capacity() * (view.weight or 1.0)
+        return max(0.1, 1 - view.requests_per_s / able) if able else 1.0
 
     def allot(
         self, now: int, standing: list[GateState], full: Mapping[NodeId, float]
@@ -305,14 +311,14 @@
             for book in standing
         }
         shares: dict[str, dict[NodeId, Allotment]] = {}
-        takers = max(1, sum(view.takes for view in self.nodes.values()))
-        gone = [book for book in self.gates.values() if not book.joined]
+        takers = max(1, sum(view.accepts_connections for view in self.nodes.values()))
+        gone = [book for book in self.gates.values() if not book.connected]
         for node, view in self.nodes.items():
-            if view.leaves or view.state in ("gone", "past"):
+            if view.draining or view.state in ("gone", "past"):
                 continue
             demands = {
                 book.name: Demand(
-                    book.held(node), book.arriving.get(node, 0.0) + letting_go[book.name] / takers
+                    book.held(node), book.arrival_rates.get(node, 0.0) + letting_go[book.name] / takers
                 )
                 for book in standing
             }
@@ -321,7 +327,7 @@
                 shares.setdefault(gate, {})[node] = part
         return shares
 
-    def returns(self, now: int, standing: list[GateState]) -> dict[str, float]:
+    def return_rates(self, now: int, standing: list[GateState]) -> dict[str, float]:
         """How many screens a second each gate may ask back."""
         together = RETURN_SHARE * sum(self.intake.new_per_s(now, view) for view in self.nodes.values())
         weights = {book.name: 1.0 + sum(book.held(node) for node in book.rows) for book in standing}
--- a/lapispass/core/connections.py
+++ b/lapispass/core/connections.py
@@ -17,19 +17,19 @@
     slice: int | None  # none: it has no key, and any node serves it
     node: NodeId
     opened_us: int
-    last_us: int  # when a message last passed, either way
+    last_message_us: int  # when a message last passed, either way
     key: str = ""
     written: int = 0  # pieces that have been sent to its node ...
     read: int = 0  # ... and how many of them the node has been shown to have read
-    inside: bool = False  # in the middle of a message from the screen
-    waiting: bool = False  # a message of the screen may not be sent yet
-    leaving: bool = False  # a move or a close is under way
-    moves_failed: int = 0
+    in_message: bool = False  # in the middle of a message from the screen
+    write_blocked: bool = False  # a message of the screen may not be sent yet
+    releasing: bool = False  # a move or a close is under way
+    failed_moves: int = 0
     messages: int = 0  # since the last report
     octets: int = 0
 
     @property
-    def unproven(self) -> bool:
+    def unconfirmed(self) -> bool:
         """Whether it has sent what its node has not been shown to have read."""
         return self.written != self.read
 
@@ -73,24 +73,24 @@
     def remove(self, held: HeldConnection) -> None:
         if self.by_number.pop(held.number, None) is None:
             return
-        self._take_out(self.by_node, held.node, held.number)
+        self._remove_from(self.by_node, held.node, held.number)
         if held.slice is not None:
-            self._take_out(self.by_slice, held.slice, held.number)
+            self._remove_from(self.by_slice, held.slice, held.number)
 
     def move(self, held: HeldConnection, node: NodeId) -> None:
-        self._take_out(self.by_node, held.node, held.number)
+        self._remove_from(self.by_node, held.node, held.number)
         held.node = node
         self.by_node.setdefault(node, {})[held.number] = held
         self.count_opened(held)
 
     @staticmethod
-    def _take_out(index: dict, key: object, number: int) -> None:  # type: ignore[type-arg]
+    def _remove_from(index: dict, key: object, number: int) -> None:  # type: ignore[type-arg]
         if (inner := index.get(key)) is not None:
             inner.pop(number, None)
             if not inner:
                 del index[key]
 
-    def at(self, node: NodeId) -> Iterable[HeldConnection]:
+    def at_node(self, node: NodeId) -> Iterable[HeldConnection]:
         return self.by_node.get(node, {}).values()
 
     def count(self, node: NodeId) -> int:
--- a/lapispass/core/costs.py
+++ b/lapispass/core/costs.py
@@ -30,10 +30,10 @@
         self.start = dict(start)  # visits a second
         self.messages = dict.fromkeys(classes, 0.0)  # a second through one connection, as gates count
         self.theta: list[float] = []  # 1/S, then q_k
-        self.spread: list[list[float]] = []
-        self.seen = 0
+        self.covariance: list[list[float]] = []
+        self.observations = 0
 
-    def heard(self, name: str, held: int, messages_per_s: float) -> None:
+    def observe_messages(self, name: str, held: int, messages_per_s: float) -> None:
         """How many messages pass through a class, all gates together."""
         if held > 0 and name in self.messages:
             rate = messages_per_s / held
@@ -55,42 +55,42 @@
             cost = sum(self.prior(name) * held.get(name, 0) for name in self.classes)
             inverse = busy * weight / (visits_per_s + cost)
             self.theta = [inverse, *(inverse * self.prior(name) for name in self.classes)]
-            self.spread = [
+            self.covariance = [
                 [(value or 1e-9) ** 2 if row == column else 0.0 for column in range(len(self.theta))]
                 for row, value in enumerate(self.theta)
             ]
         row = [visits_per_s / weight, *(held.get(name, 0) / weight for name in self.classes)]
-        self.learn(row, busy)
-        self.seen += 1
+        self.update(row, busy)
+        self.observations += 1
 
-    def learn(self, row: list[float], busy: float) -> None:
+    def update(self, row: list[float], busy: float) -> None:
         """One step of recursive least squares; the error of a report counts as a tenth of what it says."""
         noise = max(1e-6, (0.1 * busy) ** 2)
-        away = [sum(cell * value for cell, value in zip(line, row, strict=True)) for line in self.spread]
+        away = [sum(cell * value for cell, value in zip(line, row, strict=True)) for line in self.covariance]
         scale = FORGETTING_FACTOR * noise + sum(value * part for value, part in zip(row, away, strict=True))
         gain = [part / scale for part in away]
         error = busy - sum(value * weight for value, weight in zip(row, self.theta, strict=True))
         self.theta = [max(0.0, old + part * error) for old, part in zip(self.theta, gain, strict=True)]
         size = range(len(row))
         starts = [self.theta[0], *(self.theta[0] * self.prior(name) for name in self.classes)]
-        self.spread = [
-            [(self.spread[i][j] - gain[i] * away[j]) / FORGETTING_FACTOR for j in size] for i in size
+        self.covariance = [
+            [(self.covariance[i][j] - gain[i] * away[j]) / FORGETTING_FACTOR for j in size] for i in size
         ]
         for (
             place
         ) in size:  # Guards against winding up where a class is never seen: as unsure as at first at most.
             most = 100 * (starts[place] or 1e-9) ** 2
-            if self.spread[place][place] > most:
-                shrink = (most / self.spread[place][place]) ** 0.5
+            if self.covariance[place][place] > most:
+                shrink = (most / self.covariance[place][place]) ** 0.5
                 for other in size:
-                    self.spread[place][other] *= shrink
-                    self.spread[other][place] *= shrink
+                    self.covariance[place][other] *= shrink
+                    self.covariance[other][place] *= shrink
 
-    def speed(self) -> float:
+    def capacity(self) -> float:
         """Visits a second of a node of weight 1 at full work; 0 while unknown."""
         return 1 / self.theta[0] if self.theta and self.theta[0] > 0 else 0.0
 
-    def of(self, name: str) -> float:
+    def cost_of(self, name: str) -> float:
         """What one connection of a class costs, in visits a second."""
         if not self.theta or self.theta[0] <= 0 or name not in self.messages:
             return self.prior(name) if name in self.messages else 0.0
@@ -98,4 +98,4 @@
 
     def load(self, held: Mapping[str, int]) -> float:
         """All that a node holds, in visits a second."""
-        return sum(count * self.of(name) for name, count in held.items())
+        return sum(count * self.cost_of(name) for name, count in held.items())
--- a/lapispass/core/drain.py
+++ b/lapispass/core/drain.py
@@ -37,10 +37,10 @@
 class DrainForecast:
     """What a plan expects; for logs, reports and tests."""
 
-    leaving: int = 0
+    connections: int = 0
     peak_per_s: float = 0.0
     intake_per_s: float = 0.0
-    unfitting: int = 0
+    overflow: int = 0
     curves: dict[int, Curve] = field(default_factory=dict)  # by deadline
 
 
@@ -64,13 +64,13 @@
     then."""
     rooms = [0.0] * count
     for node in nodes:
-        if not node.takes:
+        if not node.accepts_connections:
             continue
         taken = 0.0
         for place in range(count):
             at = now + place * width_us
             pace = DRAIN_SHARE * intake.new_per_s(at, node) * width_us / SECOND
-            most = intake.most_held(at, node) * full.get(node.node, 1.0) - held.get(node.node, 0)
+            most = intake.max_held(at, node) * full.get(node.node, 1.0) - held.get(node.node, 0)
             part = max(0.0, min(pace, most - taken))
             taken += part
             rooms[place] += part
@@ -113,7 +113,7 @@
 
 def curves(now: int, leaving: Sequence[DrainingNode], rooms: list[float], width_us: int) -> DrainForecast:
     """A curve for each deadline, the earliest first; `rooms` is used up on the way."""
-    outlook = DrainForecast(leaving=sum(sum(node.held.values()) for node in leaving))
+    outlook = DrainForecast(connections=sum(sum(node.held.values()) for node in leaving))
     outlook.intake_per_s = max(rooms, default=0.0) * SECOND / width_us
     going = [0.0] * len(rooms)
     for deadline in sorted({node.deadline_us for node in leaving}):
@@ -130,7 +130,7 @@
             going[place] += part
             share = max(0.0, 1 - gone / amount) if amount and place + 1 < until else 0.0
             points.append((now + (place + 1) * width_us, share))
-        outlook.unfitting += round(unfitting)
+        outlook.overflow += round(unfitting)
         outlook.curves[deadline] = Curve(simplified(points), deadline)
     outlook.peak_per_s = max(going, default=0.0) * SECOND / width_us
     return outlook
--- a/lapispass/core/limits.py
+++ b/lapispass/core/limits.py
@@ -17,36 +17,36 @@
 
     per_s: float
     burst: int = 1
-    due_us: float = 0.0  # theoretical arrival time of the next one
+    next_arrival_us: float = 0.0  # theoretical arrival time of the next one
 
     @property
-    def every_us(self) -> float:
+    def interval_us(self) -> float:
         return SECOND / self.per_s if self.per_s > 0 else float(NEVER)
 
     def wait_us(self, now: int) -> int:
         """How long until one fits; 0 if one fits now."""
         if self.per_s <= 0:
             return NEVER
-        return max(0, int(self.due_us - (self.burst - 1) * self.every_us - now))
+        return max(0, int(self.next_arrival_us - (self.burst - 1) * self.interval_us - now))
 
     def take(self, now: int) -> bool:
         """Takes one if it fits."""
         if self.wait_us(now):
             return False
-        self.due_us = max(self.due_us, now) + self.every_us
+        self.next_arrival_us = max(self.next_arrival_us, now) + self.interval_us
         return True
 
     def give_back(self) -> None:
         """One that was taken has come to nothing."""
-        self.due_us -= self.every_us
+        self.next_arrival_us -= self.interval_us
 
     def set(self, now: int, per_s: float, burst: int) -> None:
         """Another rate from now on: what is owed is owed at the new pace, and no new burst is given for
         it."""
-        owed = max(0.0, self.due_us - now) / self.every_us if self.per_s > 0 else 0.0
+        owed = max(0.0, self.next_arrival_us - now) / self.interval_us if self.per_s > 0 else 0.0
         self.per_s, self.burst = per_s, max(1, burst)
         if per_s > 0:
-            self.due_us = now + min(owed, self.burst + 1.0) * self.every_us
+            self.next_arrival_us = now + min(owed, self.burst + 1.0) * self.interval_us
 
 
 class ReturnSlots:
@@ -58,25 +58,25 @@
     """
 
     def __init__(self, per_s: float, least_us: int, most_us: int, seed: int) -> None:
-        self.per_s, self.least_us, self.most_us = per_s, least_us, most_us
-        self.state, self.next_us = seed, 0.0
+        self.per_s, self.min_us, self.max_us = per_s, least_us, most_us
+        self.random_state, self.next_slot_us = seed, 0.0
 
     def draw(self) -> float:
         """From 0 up to 1; a linear congruential generator, its high bits."""
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
-        return (self.state >> 33) / (1 << 31)
+        self.random_state = (self.random_state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
+        return (self.random_state >> 33) / (1 << 31)
 
     def set(self, per_s: float, least_us: int, most_us: int) -> None:
-        self.per_s, self.least_us, self.most_us = per_s, least_us, most_us
+        self.per_s, self.min_us, self.max_us = per_s, least_us, most_us
 
     def delay_us(self, now: int) -> int:
         """From now until the slot of whoever asks; the slot is taken."""
-        every = SECOND / self.per_s if self.per_s > 0 else float(self.most_us)
-        begin = max(self.next_us, float(now + self.least_us))
-        self.next_us = begin + every
+        every = SECOND / self.per_s if self.per_s > 0 else float(self.max_us)
+        begin = max(self.next_slot_us, float(now + self.min_us))
+        self.next_slot_us = begin + every
         delay = begin - now + self.draw() * every
-        if delay > self.most_us:
-            half = (self.most_us - self.least_us) / 2
-            delay = self.most_us - self.draw() * half
-            self.next_us = min(self.next_us, float(now + self.most_us))
-        return int(max(self.least_us, delay))
+        if delay > self.max_us:
+            half = (self.max_us - self.min_us) / 2
+            delay = self.max_us - self.draw() * half
+            self.next_slot_us = min(self.next_slot_us, float(now + self.max_us))
+        return int(max(self.min_us, delay))
--- a/lapispass/core/plans.py
+++ b/lapispass/core/plans.py
@@ -19,7 +19,7 @@
 class Version(NamedTuple):
     """The life of the controller that made a plan, and the plan's number in it; later lives are greater."""
 
-    life: int
+    incarnation: int
     number: int
 
 
--- a/lapispass/core/release_policy.py
+++ b/lapispass/core/release_policy.py
@@ -47,15 +47,15 @@
     those that can be moved without their screen's notice, then by how long nothing has passed. In the
     middle of a message last.
     """
-    if held.inside:
+    if held.in_message:
         rank = 3
-    elif held.waiting:
+    elif held.write_blocked:
         rank = 0
-    elif held.kind.movable and held.moves_failed == 0:
+    elif held.kind.movable and held.failed_moves == 0:
         rank = 1
     else:
         rank = 2
-    return rank, int(held.kind.benefit * 1000) if rank == 2 else 0, -(now - held.last_us) / SECOND
+    return rank, int(held.kind.value * 1000) if rank == 2 else 0, -(now - held.last_message_us) / SECOND
 
 
 def choose(standing: Iterable[HeldConnection], count: int, now: int, last: bool) -> list[Release]:
@@ -63,9 +63,9 @@
 
     One that is in the middle of a message waits for its end, unless it is the last moment.
     """
-    free = (held for held in standing if not held.leaving and (last or not held.inside))
+    free = (held for held in standing if not held.releasing and (last or not held.in_message))
     chosen = heapq.nsmallest(count, free, key=lambda held: (*disruption(held, now), held.number))
     return [
-        Release(held.number, "close" if last or not held.kind.movable or held.moves_failed > 1 else "move")
+        Release(held.number, "close" if last or not held.kind.movable or held.failed_moves > 1 else "move")
         for held in chosen
     ]
--- a/lapispass/core/shared_types.py
+++ b/lapispass/core/shared_types.py
@@ -18,7 +18,7 @@
     path_prefix: str
     writes: bool  # a message from the screen may write to its key block
     movable: bool  # another node can take it up from the handshake alone
-    benefit: float
+    value: float
     start_cost: float  # visits a second, until what one costs has been learned
 
 
@@ -53,21 +53,21 @@
     zone: str
     state: str  # ready, unproven, ill, out (drains), gone or past, as `Backend.state` says
     weight: float = 1.0
-    born_us: int = 0  # its last start; 0 for long ago
-    busy: float = 0.0  # share of its work in use, 0 where unknown
-    pace: float = 0.0  # visits completed a second
+    started_us: int = 0  # its last start; 0 for long ago
+    utilization: float = 0.0  # share of its work in use, 0 where unknown
+    requests_per_s: float = 0.0  # visits completed a second
 
     def warmth(self, now: int, bounds: Bounds) -> float:
         """The least share of its work it can do."""
-        if not self.born_us:
+        if not self.started_us:
             return 1.0
-        age = max(0, now - self.born_us) / max(1, bounds.cold_us)
+        age = max(0, now - self.started_us) / max(1, bounds.cold_us)
         return min(1.0, bounds.cold_share + (1 - bounds.cold_share) * age)
 
     @property
-    def leaves(self) -> bool:
+    def draining(self) -> bool:
         return self.state == "out"
 
     @property
-    def takes(self) -> bool:
+    def accepts_connections(self) -> bool:
         return self.state == "ready"
--- a/lapispass/core/tables.py
+++ b/lapispass/core/tables.py
@@ -37,7 +37,7 @@
     """A node is shut out of all tables, or let in again."""
 
     node: NodeId
-    out: bool
+    withdrawn: bool
 
 
 class SetNode(NamedTuple):
@@ -50,7 +50,7 @@
 class BarrierRequest(NamedTuple):
     """A mark: answered when nothing held can still write by an older table."""
 
-    mark: int
+    barrier: int
 
 
 TableChange = SetOwner | SetShare | SetWithdrawn | SetNode | BarrierRequest
@@ -77,7 +77,7 @@
         self.slices = slices
         self.owners: dict[int, NodeId] = {}
         self.shares: dict[int, Share] = {}
-        self.out: set[NodeId] = set()
+        self.withdrawn: set[NodeId] = set()
         self.nodes: dict[NodeId, Address] = {}
 
     def apply(self, change: TableChange) -> set[int]:
@@ -102,13 +102,13 @@
                     self.shares[number] = Share(share, shut)
                 return {number} if old.shut != shut else set()
             case SetWithdrawn(node, out):
-                if out == (node in self.out):
+                if out == (node in self.withdrawn):
                     return set()
-                (self.out.add if out else self.out.discard)(node)
+                (self.withdrawn.add if out else self.withdrawn.discard)(node)
                 return {number for number, owner in self.owners.items() if owner == node}
             case SetNode(node, None):
                 self.nodes.pop(node, None)
-                self.out.discard(node)
+                self.withdrawn.discard(node)
             case SetNode(node, Address() as address):
                 self.nodes[node] = address
             case _:
@@ -118,7 +118,7 @@
     def owner(self, number: int) -> NodeId | None:
         """Who serves a slice now; nobody while it is bare or its owner is shut out."""
         owner = self.owners.get(number)
-        return None if owner in self.out else owner
+        return None if owner in self.withdrawn else owner
 
     def may_write(self, number: int, node: NodeId) -> bool:
         return self.owner(number) == node and not self.shares.get(number, DEFAULT_SHARE).shut
@@ -130,7 +130,7 @@
         """How many slices each node that is reached and not shut out owns."""
         counts: dict[NodeId, int] = {}
         for owner in self.owners.values():
-            if owner not in self.out and owner in self.nodes:
+            if owner not in self.withdrawn and owner in self.nodes:
                 counts[owner] = counts.get(owner, 0) + 1
         return counts
 
@@ -143,7 +143,7 @@
         for node, address in self.nodes.items():
             if stands.nodes.get(node) != address:
                 yield SetNode(node, address)
-        for node in sorted(self.out - stands.out):
+        for node in sorted(self.withdrawn - stands.withdrawn):
             yield SetWithdrawn(node, True)
         for number in sorted(self.owners.keys() | stands.owners.keys()):
             if self.owners.get(number) != stands.owners.get(number):
@@ -152,7 +152,7 @@
             mine = self.shares.get(number, DEFAULT_SHARE)
             if mine != stands.shares.get(number, DEFAULT_SHARE):
                 yield SetShare(number, mine.share, mine.shut)
-        for node in sorted(stands.out - self.out):
+        for node in sorted(stands.withdrawn - self.withdrawn):
             yield SetWithdrawn(node, False)
         for node in sorted(stands.nodes.keys() - self.nodes.keys()):
             yield SetNode(node, None)
--- a/lapispass/core/write_barriers.py
+++ b/lapispass/core/write_barriers.py
@@ -17,36 +17,36 @@
     """Marks in the order they came, and the connections each still waits for."""
 
     def __init__(self) -> None:
-        self.unproven: set[int] = set()  # stopped by a change, not yet shown to be read
-        self.marks: deque[tuple[int, set[int]]] = (
+        self.unconfirmed: set[int] = set()  # stopped by a change, not yet shown to be read
+        self.pending: deque[tuple[int, set[int]]] = (
             deque()
         )  # bounded by the controller: one mark a turn, in order
 
-    def stop(self, number: int) -> None:
+    def await_confirmation(self, number: int) -> None:
         """A connection may no longer write, and has written what is not proven yet."""
-        self.unproven.add(number)
+        self.unconfirmed.add(number)
 
-    def prove(self, number: int) -> None:
+    def confirm(self, number: int) -> None:
         """Its node has read all, or the way there is cut for long enough."""
-        self.unproven.discard(number)
-        for _, waits in self.marks:
+        self.unconfirmed.discard(number)
+        for _, waits in self.pending:
             waits.discard(number)
 
-    def ask(self, mark: int) -> None:
+    def request(self, mark: int) -> None:
         """A mark has come, behind the changes it follows. One asked again is answered again."""
-        self.marks.append((mark, set(self.unproven)))
+        self.pending.append((mark, set(self.unconfirmed)))
 
-    def answers(self) -> list[int]:
+    def take_completed(self) -> list[int]:
         """The marks that can be answered now, in order; each is handed out once."""
         ready = []
-        while self.marks and not self.marks[0][1]:
-            ready.append(self.marks.popleft()[0])
+        while self.pending and not self.pending[0][1]:
+            ready.append(self.pending.popleft()[0])
         return ready
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """The stream to the controller began anew: marks of the old one are nobody's. Proofs are still
         owed."""
-        self.marks.clear()
+        self.pending.clear()
 
 
 class WriteLease:
@@ -58,18 +58,18 @@
     """
 
     def __init__(self, length_us: int, early_us: int) -> None:
-        self.length_us, self.most_early_us = length_us, early_us
-        self.until = 0
+        self.length_us, self.max_early_us = length_us, early_us
+        self.expires_at = 0
 
     @property
     def early_us(self) -> int:
         """Half of a short lease at most: one that a controller shortens later must not stop writes for
         good."""
-        return min(self.most_early_us, self.length_us // 2)
+        return min(self.max_early_us, self.length_us // 2)
 
     def renew(self, sent_us: int) -> None:
-        self.until = max(self.until, sent_us + self.length_us)
+        self.expires_at = max(self.expires_at, sent_us + self.length_us)
 
-    def holds(self, now: int) -> bool:
+    def allows_writes(self, now: int) -> bool:
         """Whether writes may go out."""
-        return now < self.until - self.early_us
+        return now < self.expires_at - self.early_us
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -81,7 +81,7 @@
         """A turn has been taken: its changes and its mark go to every gate, whole, in order."""
         if any(isinstance(event, interface.Listed) for event in events):
             self.learn_addresses()
-        changes, mark = self.picture.turn(events, orders, self.addresses)
+        changes, mark = self.picture.apply_turn(events, orders, self.addresses)
         if changes or mark is not None:
             message = wire.line(wire.turn(changes, mark))
             self.counters["gates.turns"] += 1
@@ -135,7 +135,7 @@
     def look(self) -> None:
         """How the module sees the nodes, what gates hold there, and what follows."""
         now = self.service.clock.now()
-        self.keeper.see(
+        self.keeper.update_nodes(
             now,
             [
                 NodeView(
@@ -150,7 +150,7 @@
                 for standing in self.service.controller.standings()
             ],
         )
-        orders = self.keeper.look(now)
+        orders = self.keeper.evaluate(now)
         for note in orders.notes:
             self.log.say("drain", text=note)
         for node, load in orders.loads.items():
@@ -208,8 +208,8 @@
             why = "no hello of this protocol"
         elif hello.name not in self.numbers or not wire.proven(self.secret, hello.proof, nonce, hello.name):
             why = "not a gate of ours"
-        elif hello.slices != self.picture.stands.slices:
-            why = f"gate.slices is {hello.slices}, the deployment has {self.picture.stands.slices}"
+        elif hello.slices != self.picture.tables.slices:
+            why = f"gate.slices is {hello.slices}, the deployment has {self.picture.tables.slices}"
         else:
             why = self.taken(hello.name, hello.boot)
         if why:
@@ -223,9 +223,9 @@
         gate = Joined(hello.name, self.numbers[hello.name], writer)
         lease = self.service.launch.told.lease_us
         writer.write(wire.line(wire.Welcome(wire.proof(self.secret, hello.nonce, "controller"), lease)))
-        writer.write(wire.line(wire.turn(self.picture.stands.differences(wire.stands(hello)), None)))
+        writer.write(wire.line(wire.turn(self.picture.tables.differences(wire.stands(hello)), None)))
         self.gates[gate.name] = gate
-        self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
+        self.keeper.gate_joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
         self.service.tell(interface.Joined(gate.number, gate.name not in self.known, hello.zone, None))
         self.known[gate.name] = hello.boot, 0
         self.counters["gates.joined"] += 1
@@ -251,7 +251,9 @@
                     self.service.tell(interface.Answered(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
-                self.keeper.told(self.service.clock.now(), gate.name, message.serial, wire.counted(message))
+                self.keeper.report_received(
+                    self.service.clock.now(), gate.name, message.serial, wire.counted(message)
+                )
             case _:
                 raise ValueError(f"unasked {type(message).__name__}")
 
@@ -261,7 +263,7 @@
             return
         del self.gates[gate.name]
         self.known[gate.name] = self.known[gate.name][0], self.service.clock.now()
-        self.keeper.left(self.service.clock.now(), gate.name)
+        self.keeper.gate_left(self.service.clock.now(), gate.name)
         self.service.tell(interface.Left(gate.number))
         self.counters["gates.left"] += 1
         self.log.say("gate left", gate=gate.name, why=why)
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -93,7 +93,7 @@
                 await self.refuse(Refusal(503, "the gate ends", return_us(gate)))
             raise
         if self.reader.over or self.writer.transport.is_closing():  # gone while its node was opened
-            gate.steering.fail(go.node)
+            gate.steering.admission_failed(go.node)
             node.end(0.0)
             gate.counters["screens.gone_early"] += 1
             return None
@@ -152,7 +152,7 @@
     ) -> tuple[Admitted, Side, str | None]:
         """A node that has taken the upgrade, or a `Refusal` with when to come back."""
         steering, tried = self.gate.steering, []
-        choice = steering.arrive(self.clock.now(), kind, key)
+        choice = steering.admit(self.clock.now(), kind, key)
         while True:
             if isinstance(choice, Unsupported):
                 raise Refusal(400, choice.why)
@@ -163,18 +163,20 @@
                 side, protocol = await opener.open(choice)
                 return choice, side, protocol
             except NoNode as error:
-                steering.fail(choice.node)
+                steering.admission_failed(choice.node)
                 self.gate.counters["nodes.refused"] += 1
                 self.gate.log.rate_limited("node took no upgrade", node=choice.node, why=error)
                 now = self.clock.now()
                 if error.final:
                     raise Refusal(error.status, str(error)) from None
                 if key is not None or len(tried) >= MAX_NODE_TRIES:
-                    wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
+                    wait = steering.admission.refuse(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
-                choice = steering.place(now, tried)  # nothing was held or written: another node may be asked
+                choice = steering.choose_node(
+                    now, tried
+                )  # nothing was held or written: another node may be asked
             except BaseException:
-                steering.fail(choice.node)
+                steering.admission_failed(choice.node)
                 raise
 
     async def refuse(self, error: Refusal | BadUpgrade) -> None:
--- a/lapispass/gate/lone.py
+++ b/lapispass/gate/lone.py
@@ -26,7 +26,7 @@
         self.keeper = ConnectionController(
             operator.classes(told), operator.bounds(told), operator.drain_terms(told), now
         )
-        self.keeper.joined(now, gate.settings.name, gate.settings.zone, NO_VERSION, {})
+        self.keeper.gate_joined(now, gate.settings.name, gate.settings.zone, NO_VERSION, {})
         self.views: list[NodeView] = []
         self.starts: dict[str, tuple[int, int]] = {}  # node: as the file says, and by our clock
         self.serial, self.reported = 0, 0
@@ -42,7 +42,7 @@
             if node.state != Node.GONE:
                 wanted.nodes[node.id] = tables.Address(node.address, node.zone)
             if node.state != Node.READY:
-                wanted.out.add(node.id)
+                wanted.withdrawn.add(node.id)
         ready = [node.id for node in told.node if node.state == Node.READY]
         lines = {line.slice: line.owner for line in told.line}
         for number in range(gate.settings.slices):
@@ -84,11 +84,11 @@
                     kind: ReportedCounts(row.held, row.opened, row.messages, row.octets)
                     for kind, row in by_class.items()
                 }
-                for node, by_class in gate.steering.book.report().items()
+                for node, by_class in gate.steering.connections.report().items()
             }
-            self.keeper.told(now, name, self.serial, rows)
-        self.keeper.see(now, self.views)
-        orders = self.keeper.look(now)
+            self.keeper.report_received(now, name, self.serial, rows)
+        self.keeper.update_nodes(now, self.views)
+        orders = self.keeper.evaluate(now)
         for note in orders.notes:
             gate.log.say("drain", text=note)
         if plan := orders.plans.get(name):
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -43,7 +43,7 @@
 
     def prove(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> bool:
         """Has the old node show that it has read all; True in the turn in which it has."""
-        if self.step == "stopping" and not held.inside:
+        if self.step == "stopping" and not held.in_message:
             self.step, self.token = "proving", old.ping(now)
         if self.step == "proving" and old.got_tokens >= self.token:
             self.step, self.until = "quieting", now + limits.fence_us
@@ -52,14 +52,14 @@
 
     def close_when_quiet(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> None:
         """Closes the old node between two of its messages, once it is quiet or has had its time for that."""
-        is_quiet = now - held.last_us >= limits.quiet_us or now >= self.until
+        is_quiet = now - held.last_message_us >= limits.quiet_us or now >= self.until
         if self.step == "quieting" and not old.inside and is_quiet:
             old.close(1000, "moved")
             self.step, self.until = "parting", now + limits.close_us
 
     def next_due(self, held: HeldConnection, limits: Limits) -> int:
         """When something has to be done without anything coming."""
-        quiet_at = held.last_us + limits.quiet_us if self.step == "quieting" else NEVER
+        quiet_at = held.last_message_us + limits.quiet_us if self.step == "quieting" else NEVER
         return min(self.until, quiet_at)
 
     def abandon(self) -> None:
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -87,23 +87,23 @@
     def carry_out(self, changes: Iterable[tables.TableChange]) -> None:
         """Table changes and marks, at once: from here on nothing begins by the older table."""
         now = self.clock.now()
-        effects = self.steering.apply(changes)
+        effects = self.steering.apply_changes(changes)
         for number in effects.stopped:
             if tunnel := self.tunnels.get(number):
                 tunnel.stop_and_prove(now)
-        for number in effects.freed:
+        for number in effects.to_recheck:
             if tunnel := self.tunnels.get(number):
                 tunnel.wake.set()
-        self.tell(effects.answers)
+        self.tell(effects.acknowledged)
 
     def follow(self, plan: Plan) -> bool:
         """A plan of the controller; False where a newer one is in force. Nodes called gone must show a sign
         of life."""
         now, known = self.clock.now(), self.steering.plan.dead
-        if not self.steering.follow(now, plan):
+        if not self.steering.apply_plan(now, plan):
             return False
         for node in plan.dead - known:
-            for held in list(self.steering.book.at(node)):
+            for held in list(self.steering.connections.at_node(node)):
                 if tunnel := self.tunnels.get(held.number):
                     tunnel.stop_and_prove(now)
         return True
@@ -204,21 +204,21 @@
             log.write_on()
             now = self.clock.now()
             was = self.steering.writable
-            for number in self.steering.expired(now):
+            for number in self.steering.expire_lease(now):
                 if tunnel := self.tunnels.get(number):  # proven or cut before the lease ends
-                    tunnel.stop_and_prove(now, max(now + 1, self.steering.lease_ends()))
+                    tunnel.stop_and_prove(now, max(now + 1, self.steering.lease_end()))
             if was != self.steering.writable:
                 self.log.warn(
                     "writes go on" if self.steering.writable else "no word of the controller: writes stop"
                 )
                 for tunnel in self.tunnels.values():
-                    if tunnel.held.waiting:
+                    if tunnel.held.write_blocked:
                         tunnel.wake.set()
             if self.lone is not None:
                 self.lone.tick(now)
             for release in self.steering.tick(now, tick_us):
                 if tunnel := self.tunnels.get(release.number):
-                    self.steering.leave(tunnel.held)
+                    self.steering.begin_release(tunnel.held)
                     tunnel.release = release.how
                     tunnel.wake.set()
 
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -75,7 +75,7 @@
         self.client = Side("screen", reader, writer, accepted.early, now, self.limits.buffer_bytes)
         self.node: Side | None = accepted.node
         self.protocol, self.opener = accepted.protocol, accepted.opener
-        self.held: HeldConnection = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
+        self.held: HeldConnection = gate.steering.established(now, accepted.kind, accepted.go, accepted.key)
         self.kept: Message[Any] | None = None  # a message that may not begin yet
         self.move: Move | None = None
         self.ending: Ending | None = None
@@ -122,12 +122,12 @@
                     if self.deaf or (self.ending and not client.inside and not self.may_begin(now)):
                         # Guards the close: behind a message that goes nowhere any more the client's own close
                         # would never be read. The client has been told, and knows that it was not taken.
-                        self.deaf, self.kept, self.held.waiting = True, None, False
+                        self.deaf, self.kept, self.held.write_blocked = True, None, False
                         continue
                     if not client.inside and not self.may_begin(now):
-                        self.kept, self.held.waiting = event, True
+                        self.kept, self.held.write_blocked = event, True
                         return
-                    self.kept, self.held.waiting = None, False
+                    self.kept, self.held.write_blocked = None, False
                     self.from_client(event, now)
                 case Ping():
                     client.send(event.response())
@@ -152,9 +152,9 @@
         if not self.client.count(event, self.limits.message_bytes):
             self.close(1009, "message too long", now)
             return
-        self.held.inside = self.client.inside
+        self.held.in_message = self.client.inside
         if self.node is not None and self.node.pass_on(event):
-            self.gate.steering.wrote(now, self.held, len(event.data))
+            self.gate.steering.message_written(now, self.held, len(event.data))
             self.gate.counters["messages.up"] += event.message_finished
 
     async def hear_node(self, now: int) -> None:
@@ -177,7 +177,7 @@
                         self.close(1009, "message too long", now)
                         return
                     self.client.pass_on(event)
-                    self.held.last_us = now
+                    self.held.last_message_us = now
                     self.held.messages += 1
                     self.held.octets += len(event.data)
                     self.gate.counters["messages.down"] += event.message_finished
@@ -236,12 +236,12 @@
         again."""
         gate, held, node = self.gate, self.held, self.node
         gate.counters["nodes.lost"] += 1
-        cut_short = held.unproven or held.inside or (node is not None and node.inside)
+        cut_short = held.unconfirmed or held.in_message or (node is not None and node.inside)
         if node is not None:
             node.cut()  # nothing more reaches it: as good as read, for rule 2
         self.node = None
         self.proof, self.proof_until = 0, 0
-        gate.tell(gate.steering.cut(held))
+        gate.tell(gate.steering.node_disconnected(held))
         if self.ending is not None:
             if self.ending.step == "node":
                 self.over = True
@@ -304,7 +304,7 @@
 
     def check_times(self, now: int) -> None:
         """The idle time-out, and the bound of a close handshake."""
-        idle_us, idle_for = self.limits.idle_us, now - self.held.last_us
+        idle_us, idle_for = self.limits.idle_us, now - self.held.last_message_us
         if idle_us and idle_for > idle_us and self.ending is None and self.move is None:
             self.how = "idle"
             self.close(1000, "idle", now)
@@ -334,7 +334,7 @@
 
     def prove(self, node: Side, now: int) -> None:
         """The ping behind the last message; a node that does not answer in time is cut off."""
-        if not self.proof and not self.held.inside and not node.sent_close:
+        if not self.proof and not self.held.in_message and not node.sent_close:
             self.proof, self.proof_written = node.ping(now), self.held.written
         if self.proof and node.got_tokens >= self.proof:
             self.proven(self.proof_written)
@@ -348,16 +348,16 @@
         self.proof, self.proof_until = 0, 0
         self.gate.counters["fences.proven"] += 1
         self.gate.tell(
-            self.gate.steering.proven(self.held, self.held.written if written is None else written)
+            self.gate.steering.read_confirmed(self.held, self.held.written if written is None else written)
         )
 
     def begin_move(self, now: int) -> None:
         """The new node's connection is made while the old one serves on."""
-        target = self.gate.steering.target(now, self.held)
+        target = self.gate.steering.move_target(now, self.held)
         if isinstance(target, Refused):
-            self.gate.steering.stay(self.held)
+            self.gate.steering.cancel_release(self.held)
             return
-        self.gate.steering.leave(self.held)
+        self.gate.steering.begin_release(self.held)
         opening = asyncio.get_running_loop().create_task(self.opener.open(target))
         opening.add_done_callback(lambda _: self.wake.set())
         self.move = Move(target, opening)
@@ -391,7 +391,7 @@
         self.gate.counters["moves.failed"] += 1
         self.gate.log.rate_limited("move failed", node=self.move.go.node, why=why)
         self.drop_move()
-        self.held.moves_failed += 1
+        self.held.failed_moves += 1
         if self.node is None:
             self.how = "node lost"
             self.close_for_later(1012, now)
@@ -402,8 +402,8 @@
             return
         move, self.move = self.move, None
         move.abandon()
-        self.gate.steering.fail(move.go.node)
-        self.gate.steering.stay(self.held)
+        self.gate.steering.admission_failed(move.go.node)
+        self.gate.steering.cancel_release(self.held)
 
     def switch(self, now: int) -> None:
         """On a message boundary both ways: the old node has closed, the new one takes over."""
@@ -422,7 +422,7 @@
         if self.ending is not None:
             return
         self.drop_move()
-        self.gate.steering.leave(self.held)
+        self.gate.steering.begin_release(self.held)
         if not self.client.close(code, reason):
             self.close_node(1001, now)
             return
@@ -455,7 +455,7 @@
             if side is not None:
                 due = min(due, side.next_due(limits))
         if limits.idle_us:
-            due = min(due, self.held.last_us + limits.idle_us)
+            due = min(due, self.held.last_message_us + limits.idle_us)
         if self.proof_until:
             due = min(due, self.proof_until)
         if self.ending is not None:
@@ -469,7 +469,7 @@
         self.drop_move()
         limits, steering = self.limits, self.gate.steering
         if self.node is not None:
-            if self.node.got_close or not self.held.unproven:
+            if self.node.got_close or not self.held.unconfirmed:
                 self.node.end(limits.close_us / 1e6)
             else:
                 # Guards rule 2: no byte of an older table is sent by the kernel behind our back.
@@ -479,4 +479,4 @@
         else:
             self.client.writer.transport.abort()
         self.gate.counters[f"ended.{self.how.replace(' ', '_')}"] += 1
-        self.gate.closed(self, steering.gone(self.held))
+        self.gate.closed(self, steering.closed(self.held))
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -40,7 +40,7 @@
                 if self.writer is not None:
                     self.writer.transport.abort()
                 self.writer = None
-                gate.steering.fences.restart()
+                gate.steering.barriers.reset()
                 self.asked.clear()
             lasted = gate.clock.now() - begun
             wait_us = (
@@ -150,7 +150,7 @@
                         name: (row.held, row.opened, row.messages, row.octets)
                         for name, row in by_class.items()
                     }
-                    for node, by_class in gate.steering.book.report().items()
+                    for node, by_class in gate.steering.connections.report().items()
                 }
                 writer.write(wire.line(wire.Report(self.serial, rows)))
             await writer.drain()
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -140,11 +140,11 @@
         stands.slices,
         nonce,
         proved,
-        (plan.life, plan.number),
+        (plan.incarnation, plan.number),
         drains,
         dict(stands.owners),
         {number: (share.share, share.shut) for number, share in stands.shares.items()},
-        sorted(stands.out),
+        sorted(stands.withdrawn),
         {node: (address.address, address.zone) for node, address in stands.nodes.items()},
     )
 
@@ -154,7 +154,7 @@
     there = tables.Tables(told.slices)
     there.owners = dict(told.lines)
     there.shares = {number: tables.Share(*share) for number, share in told.shares.items()}
-    there.out = set(told.out)
+    there.withdrawn = set(told.out)
     there.nodes = {node: tables.Address(*address) for node, address in told.nodes.items()}
     return there
 
@@ -195,7 +195,7 @@
     curves = list(dict.fromkeys(ceiling.curve for ceiling in plan.ceilings.values()))
     places = {curve: place for place, curve in enumerate(curves)}
     return PlanTold(
-        (plan.version.life, plan.version.number),
+        (plan.version.incarnation, plan.version.number),
         [(curve.deadline_us - now, [(at - now, share) for at, share in curve.points]) for curve in curves],
         {
             node: (places[ceiling.curve], ceiling.held, ceiling.offset)
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -88,7 +88,7 @@
         self.lease.give_up()
         self.takeover.name = self.lease.holder
         # What we reported of nodes has ended with it.
-        self.unreported.update(dict.fromkeys(self.mine.stands.out, True))
+        self.unreported.update(dict.fromkeys(self.mine.tables.withdrawn, True))
         self.stop_all()
 
     def stop_all(self) -> None:
@@ -316,9 +316,13 @@
             await self.due()
             events, orders = self.decide()
             self.carry_out([order for order in orders if not isinstance(order, interface.Mark)])
-            changes, mark = self.mine.turn(events, orders, self.desk.addresses)
+            changes, mark = self.mine.apply_turn(events, orders, self.desk.addresses)
             self.unreported.update(
-                {change.node: change.out for change in changes if isinstance(change, tables.SetWithdrawn)}
+                {
+                    change.node: change.withdrawn
+                    for change in changes
+                    if isinstance(change, tables.SetWithdrawn)
+                }
             )
             if mark is None:
                 continue
@@ -395,10 +399,10 @@
                 case tables.SetOwner(number, _) | tables.SetShare(number, _, _) if (
                     number in self.takeover.acting
                 ):
-                    share = self.mine.stands.shares.get(number, tables.DEFAULT_SHARE)
+                    share = self.mine.tables.shares.get(number, tables.DEFAULT_SHARE)
                     old = self.writer.known(number)
                     new = old._replace(
-                        owner=self.mine.stands.owners.get(number), share=share.share, shut=share.shut
+                        owner=self.mine.tables.owners.get(number), share=share.share, shut=share.shut
                     )
                     if new != old:
                         slices[number] = new
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -90,8 +90,8 @@
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn's changes become versions; whoever watches them is woken."""
-        changes, mark = self.picture.turn(events, orders, self.addresses)
-        self.publish(self.picture.stands, changes, mark)
+        changes, mark = self.picture.apply_turn(events, orders, self.addresses)
+        self.publish(self.picture.tables, changes, mark)
 
     def publish(self, stands: tables.Tables, changes: list[tables.TableChange], mark: int | None) -> None:
         """Changes that stand already become versions; behind them a mark."""
--- a/tests/support_core.py
+++ b/tests/support_core.py
@@ -35,9 +35,9 @@
     )
     made = Steering(**{**told, **more})  # type: ignore[arg-type]
     names = [f"n{number}" for number in range(nodes)]
-    made.apply([SetNode(name, Address("127.0.0.1:1", "east")) for name in names])
-    made.apply([SetOwner(number, names[number % nodes]) for number in range(slices)])
-    made.follow(NOW, Plan(Version(0, 1), {}, dict.fromkeys(names, ROOMY)))
+    made.apply_changes([SetNode(name, Address("127.0.0.1:1", "east")) for name in names])
+    made.apply_changes([SetOwner(number, names[number % nodes]) for number in range(slices)])
+    made.apply_plan(NOW, Plan(Version(0, 1), {}, dict.fromkeys(names, ROOMY)))
     return made
 
 
@@ -51,9 +51,9 @@
 
 
 def opened(made: Steering, kind: ConnectionClass, key: str | None, now: int = NOW):
-    go = made.arrive(now, kind, key)
+    go = made.admit(now, kind, key)
     assert isinstance(go, Admitted), go
-    return made.stand(now, kind, go, key)
+    return made.established(now, kind, go, key)
 
 
 def keeper(now: int = NOW, **bounds: object) -> ConnectionController:
@@ -68,5 +68,5 @@
 
 def joined(made: ConnectionController, gate: str, **held: int) -> None:
     """A gate joins, and reports so many connections at each node."""
-    made.joined(NOW, gate, "east", NO_VERSION, {})
-    made.told(NOW, gate, 1, rows(**held))
+    made.gate_joined(NOW, gate, "east", NO_VERSION, {})
+    made.report_received(NOW, gate, 1, rows(**held))
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -85,7 +85,7 @@
 
 def test_allotments_never_add_up_to_more_than_a_node_takes() -> None:
     intake = Intake(Bounds(connections=100, new_per_s=10, cold_us=10 * SECOND, cold_share=0.2))
-    cold = ready("c", born_us=NOW)[0]
+    cold = ready("c", started_us=NOW)[0]
     demands = {"a": Demand(5, 1.0), "b": Demand(0, 30.0), "c": Demand(3, 0.0)}
     parts = intake.allot(NOW, cold, demands, 1.0, 4)
     assert sum(part.held for part in parts.values()) + 4 == 20
@@ -100,7 +100,7 @@
 def test_many_gates_together_have_no_more_than_a_nodes_burst() -> None:
     """Found at full size: twenty gates with one each sent a cold node twice what it takes within a second."""
     intake = Intake(Bounds(connections=400, new_per_s=10, burst=5, cold_us=30 * SECOND, cold_share=0.2))
-    cold = ready("c", born_us=NOW)[0]
+    cold = ready("c", started_us=NOW)[0]
     demands = {f"g{n}": Demand(0, 1.0) for n in range(20)}
     served: set[str] = set()
     for step in range(60):
@@ -123,10 +123,10 @@
         visits = chance.uniform(5, 40)
         work = visits + sum(real[name] * count for name, count in held.items())
         costs.observe(work / 100 * chance.uniform(0.9, 1.1), visits, held, 1.0, True)
-    assert costs.of("board") == pytest.approx(0.02, rel=0.15) and costs.of("till") == pytest.approx(
+    assert costs.cost_of("board") == pytest.approx(0.02, rel=0.15) and costs.cost_of("till") == pytest.approx(
         0.5, rel=0.15
     )
-    assert costs.speed() == pytest.approx(100, rel=0.1)
+    assert costs.capacity() == pytest.approx(100, rel=0.1)
 
 
 def test_a_class_never_seen_keeps_its_start_value_and_noise_makes_no_cost_negative() -> None:
@@ -135,5 +135,5 @@
         costs.observe(
             chance.uniform(0.1, 0.9), chance.uniform(1, 90), {"board": chance.randint(0, 9)}, 1.0, True
         )
-    assert costs.of("board") >= 0 and costs.speed() > 0
+    assert costs.cost_of("board") >= 0 and costs.capacity() > 0
     assert all(0 <= value < 1e6 for value in costs.theta)
--- a/tests/test_connection_controller.py
+++ b/tests/test_connection_controller.py
@@ -25,23 +25,23 @@
     """Found in a benchmark: most of a drain fell on its last quarter, since each plan began at an old
     count."""
     made, gate = keeper(), steering(2)
-    made.joined(NOW, "g0", "east", NO_VERSION, {})
+    made.gate_joined(NOW, "g0", "east", NO_VERSION, {})
     for _ in range(400):
         opened(gate, BOARD, None)
-    late = [gate.book.count("n0")] * 8  # reports are 0.8 s old
+    late = [gate.connections.count("n0")] * 8  # reports are 0.8 s old
     views = [*ready("n1"), *ready("n0", state="out")]
     ends: dict[int, int] = {}
     for step in range(200):
         now = NOW + step * SECOND // 10
-        late.append(gate.book.count("n0"))
-        made.told(now, "g0", step, rows(n0=late.pop(0), n1=0))
-        made.see(now, views)
-        for plan in made.look(now).plans.values():
-            gate.follow(now, plan)
+        late.append(gate.connections.count("n0"))
+        made.report_received(now, "g0", step, rows(n0=late.pop(0), n1=0))
+        made.update_nodes(now, views)
+        for plan in made.evaluate(now).plans.values():
+            gate.apply_plan(now, plan)
         for release in gate.tick(now, SECOND // 10):
-            gate.gone(gate.book.by_number[release.number])
+            gate.closed(gate.connections.by_number[release.number])
             ends[step // 40] = ends.get(step // 40, 0) + 1
-    assert gate.book.count("n0") == 0 and all(30 < ends[quarter] < 65 for quarter in range(4)), ends
+    assert gate.connections.count("n0") == 0 and all(30 < ends[quarter] < 65 for quarter in range(4)), ends
 
 
 @given(
@@ -58,7 +58,7 @@
 )
 @settings(derandomize=True, max_examples=120, deadline=None)
 def test_ceilings_sink_evenly_to_nothing_by_their_deadline(drains, warm: int, cold: int) -> None:
-    nodes = ready(*(f"w{n}" for n in range(warm))) + ready(*(f"c{n}" for n in range(cold)), born_us=NOW)
+    nodes = ready(*(f"w{n}" for n in range(warm))) + ready(*(f"c{n}" for n in range(cold)), started_us=NOW)
     intake = Intake(Bounds(connections=500, new_per_s=20, cold_us=20 * SECOND))
     going = [
         drain.DrainingNode(f"d{n}", NOW + seconds * SECOND, held) for n, (seconds, held) in enumerate(drains)
@@ -71,8 +71,8 @@
             values = [line.at(NOW + step * SECOND // 4) for step in range(260)]
             assert values == sorted(values, reverse=True)
     total = sum(sum(node.held.values()) for node in going)
-    assert outlook.leaving == total and 0 <= outlook.unfitting <= total
-    if outlook.unfitting == 0 and total:
+    assert outlook.connections == total and 0 <= outlook.overflow <= total
+    if outlook.overflow == 0 and total:
         rate = drain.DRAIN_SHARE * sum(intake.new_per_s(NOW + 60 * SECOND, node) for node in nodes)
         assert outlook.peak_per_s <= rate * 1.01 + 1
 
@@ -84,18 +84,18 @@
         drain.DrainingNode("b", NOW + 30 * SECOND, {"g": 2000}),
     ]
     _, outlook = drain.plan(NOW, going, nodes, {}, Intake(Bounds()), {})
-    assert outlook.peak_per_s == pytest.approx(7000 / 58, rel=0.02) and outlook.unfitting == 0
+    assert outlook.peak_per_s == pytest.approx(7000 / 58, rel=0.02) and outlook.overflow == 0
 
 
 def test_cold_destinations_are_given_no_more_than_their_share() -> None:
-    nodes = ready("c0", "c1", born_us=NOW)
+    nodes = ready("c0", "c1", started_us=NOW)
     bounds = Bounds(connections=10_000, new_per_s=100, cold_us=30 * SECOND, cold_share=0.1)
     _, outlook = drain.plan(
         NOW, [drain.DrainingNode("a", NOW + 30 * SECOND, {"g": 1500})], nodes, {}, Intake(bounds), {}
     )
     curve = next(iter(outlook.curves.values()))
     first = 1500 * (1 - curve.at(NOW + 3 * SECOND))
-    assert first <= 3 * 2 * 100 * 0.2 * drain.DRAIN_SHARE + 1 and outlook.unfitting == 0
+    assert first <= 3 * 2 * 100 * 0.2 * drain.DRAIN_SHARE + 1 and outlook.overflow == 0
 
 
 def test_many_gates_with_one_connection_each_do_not_all_wait_for_the_last_moment() -> None:
@@ -113,73 +113,73 @@
     for gate in ("g0", "g1"):
         joined(made, gate, n0=100, n1=100, n2=100)
     views = ready("n0", "n1", "n2")
-    made.see(NOW, views)
-    first = made.look(NOW).plans
+    made.update_nodes(NOW, views)
+    first = made.evaluate(NOW).plans
     assert not first["g0"].ceilings and set(first["g0"].allotted) == {"n0", "n1", "n2"}
-    made.see(NOW + SECOND, [replace(views[0], state="out"), *views[1:]])
-    second = made.look(NOW + SECOND).plans
+    made.update_nodes(NOW + SECOND, [replace(views[0], state="out"), *views[1:]])
+    second = made.evaluate(NOW + SECOND).plans
     for gate in ("g0", "g1"):
         line = second[gate].ceilings["n0"]
         assert line.deadline_us == NOW + SECOND + 18 * SECOND and "n0" not in second[gate].allotted
         assert 30 < line.at(NOW + 10 * SECOND) < 70
         assert second[gate].version > first[gate].version
-    made.see(NOW + 2 * SECOND, views)
-    third = made.look(NOW + 2 * SECOND).plans
+    made.update_nodes(NOW + 2 * SECOND, views)
+    third = made.evaluate(NOW + 2 * SECOND).plans
     assert not third["g0"].ceilings and "n0" in third["g0"].allotted
 
 
 def test_a_controller_that_starts_anew_goes_on_with_the_drain() -> None:
     made = keeper(NOW + 10 * SECOND)
-    made.see(NOW + 10 * SECOND, ready("n1"))
-    made.joined(NOW + 10 * SECOND, "g0", "east", Version(NOW, 7), {"n0": 5 * SECOND})
-    made.told(NOW + 10 * SECOND, "g0", 1, rows(n0=50, n1=10))
-    made.see(NOW + 11 * SECOND, [*ready("n1"), *ready("n0", state="out")])
-    plan = made.look(NOW + 11 * SECOND).plans["g0"]
+    made.update_nodes(NOW + 10 * SECOND, ready("n1"))
+    made.gate_joined(NOW + 10 * SECOND, "g0", "east", Version(NOW, 7), {"n0": 5 * SECOND})
+    made.report_received(NOW + 10 * SECOND, "g0", 1, rows(n0=50, n1=10))
+    made.update_nodes(NOW + 11 * SECOND, [*ready("n1"), *ready("n0", state="out")])
+    plan = made.evaluate(NOW + 11 * SECOND).plans["g0"]
     assert plan.ceilings["n0"].deadline_us == NOW + 15 * SECOND  # and not 18 s from now
     assert plan.version > Version(NOW, 7)
 
 
 def test_a_gate_that_knows_less_time_left_shortens_a_drain_that_was_begun_over() -> None:
     made = keeper()
-    made.see(NOW, [*ready("n1"), *ready("n0", state="out")])
-    made.joined(NOW, "g0", "east", Version(3, 1), {"n0": 4 * SECOND})
-    made.told(NOW, "g0", 1, rows(n0=5))
-    made.see(NOW, [*ready("n1"), *ready("n0", state="out")])
-    assert made.look(NOW).plans["g0"].ceilings["n0"].deadline_us == NOW + 4 * SECOND
+    made.update_nodes(NOW, [*ready("n1"), *ready("n0", state="out")])
+    made.gate_joined(NOW, "g0", "east", Version(3, 1), {"n0": 4 * SECOND})
+    made.report_received(NOW, "g0", 1, rows(n0=5))
+    made.update_nodes(NOW, [*ready("n1"), *ready("n0", state="out")])
+    assert made.evaluate(NOW).plans["g0"].ceilings["n0"].deadline_us == NOW + 4 * SECOND
 
 
 def test_a_clock_that_went_back_between_two_lives_makes_no_plan_look_old() -> None:
     made = keeper(NOW)
-    made.see(NOW, ready("n0"))
-    made.joined(NOW, "g0", "east", Version(NOW + 999, 40), {})
-    assert made.look(NOW).plans["g0"].version > Version(NOW + 999, 40)
+    made.update_nodes(NOW, ready("n0"))
+    made.gate_joined(NOW, "g0", "east", Version(NOW + 999, 40), {})
+    assert made.evaluate(NOW).plans["g0"].version > Version(NOW + 999, 40)
 
 
 def test_nothing_is_planned_before_the_nodes_are_known() -> None:
     made = keeper()
-    made.joined(NOW, "g0", "east", NO_VERSION, {})
-    assert not made.look(NOW).plans
-    made.see(NOW, ready("n0", state="unproven"))
-    assert not made.look(NOW).plans
-    made.see(NOW, [*ready("n0"), *ready("n1", state="unproven")])
-    assert not made.look(NOW + SECOND).plans
-    assert made.look(NOW + 4 * SECOND).plans
+    made.gate_joined(NOW, "g0", "east", NO_VERSION, {})
+    assert not made.evaluate(NOW).plans
+    made.update_nodes(NOW, ready("n0", state="unproven"))
+    assert not made.evaluate(NOW).plans
+    made.update_nodes(NOW, [*ready("n0"), *ready("n1", state="unproven")])
+    assert not made.evaluate(NOW + SECOND).plans
+    assert made.evaluate(NOW + 4 * SECOND).plans
 
 
 def test_where_all_nodes_leave_the_drains_are_kept_all_the_same() -> None:
     made = keeper()
     joined(made, "g0", n0=100, n1=100)
-    made.see(NOW, ready("n0", "n1", state="out"))
-    plan = made.look(NOW).plans["g0"]
+    made.update_nodes(NOW, ready("n0", "n1", state="out"))
+    plan = made.evaluate(NOW).plans["g0"]
     assert 80 < sum(line.at(NOW + 9 * SECOND) for line in plan.ceilings.values()) < 120
-    assert made.outlook.unfitting == 200 and not plan.allotted
+    assert made.forecast.overflow == 200 and not plan.allotted
 
 
 def test_an_older_report_than_the_last_is_left_out() -> None:
     made = keeper()
-    made.joined(NOW, "g0", "east", NO_VERSION, {})
-    made.told(NOW, "g0", 2, rows(n0=5))
-    made.told(NOW, "g0", 1, rows(n0=99))
+    made.gate_joined(NOW, "g0", "east", NO_VERSION, {})
+    made.report_received(NOW, "g0", 2, rows(n0=5))
+    made.report_received(NOW, "g0", 1, rows(n0=99))
     assert made.held() == {"n0": 5}
 
 
@@ -187,35 +187,35 @@
     made = keeper(connections=100)
     for gate in ("g0", "g1"):
         joined(made, gate, n0=40)
-    made.see(NOW, ready("n0"))
-    made.left(NOW, "g1")
-    made.look(NOW)
-    plan = made.gates["g0"].sent
+    made.update_nodes(NOW, ready("n0"))
+    made.gate_left(NOW, "g1")
+    made.evaluate(NOW)
+    plan = made.gates["g0"].last_plan
     assert plan.allotted["n0"].held <= 60
-    made.look(NOW + 6 * SECOND)
-    assert "g1" not in made.gates and made.gates["g0"].sent.allotted["n0"].held == 100
+    made.evaluate(NOW + 6 * SECOND)
+    assert "g1" not in made.gates and made.gates["g0"].last_plan.allotted["n0"].held == 100
 
 
 def test_a_node_full_of_quiet_screens_is_not_least_loaded() -> None:
     made = keeper(connections=1000)
     joined(made, "g0", n0=900, n1=0)
-    made.see(NOW, ready("n0", "n1", pace=20.0))
-    loads = made.look(NOW).loads
+    made.update_nodes(NOW, ready("n0", "n1", requests_per_s=20.0))
+    loads = made.evaluate(NOW).loads
     assert loads["n0"] >= 18 and loads.get("n1", 0) == 0
 
 
 def test_plans_that_say_the_same_are_not_sent_again() -> None:
     made = keeper()
     joined(made, "g0", n0=100, n1=100)
-    made.see(NOW, [*ready("n0"), *ready("n1", state="out")])
-    assert made.look(NOW).plans
+    made.update_nodes(NOW, [*ready("n0"), *ready("n1", state="out")])
+    assert made.evaluate(NOW).plans
     sent = 0
     for step in range(1, 100):
         now = NOW + step * SECOND // 10
-        left = made.gates["g0"].sent.ceilings["n1"].at(now)
-        made.told(now, "g0", 1 + step, rows(n0=100, n1=left))
-        made.see(now, [*ready("n0"), *ready("n1", state="out")])
-        sent += len(made.look(now).plans)
+        left = made.gates["g0"].last_plan.ceilings["n1"].at(now)
+        made.report_received(now, "g0", 1 + step, rows(n0=100, n1=left))
+        made.update_nodes(now, [*ready("n0"), *ready("n1", state="out")])
+        sent += len(made.evaluate(now).plans)
     assert sent <= 4
 
 
@@ -251,16 +251,18 @@
         interface.VisitClass("pay", 1, 1, 1.0, True, False),
     )
     picture = TableSnapshot(4, kinds, True)
-    changes, mark = picture.turn(
+    changes, mark = picture.apply_turn(
         [interface.Given(1, True), interface.Held(1, "a")], [], {"a": Address("x:1", "")}
     )
     assert changes == [SetNode("a", Address("x:1", "")), SetOwner(1, "a")] and mark is None
-    changes, mark = picture.turn([], [interface.Empty(1), interface.Mark(9, True)], {"a": Address("x:1", "")})
+    changes, mark = picture.apply_turn(
+        [], [interface.Empty(1), interface.Mark(9, True)], {"a": Address("x:1", "")}
+    )
     assert changes == [SetOwner(1, None)] and mark == 9
-    changes, _ = picture.turn(
+    changes, _ = picture.apply_turn(
         [], [interface.Own(1, "b", 1.0), interface.Admit(1, 2, 1, 0.0)], {"a": Address("x:1", "")}
     )
     assert changes == [SetOwner(1, "b"), SetShare(1, 0.5, True)]
-    changes, _ = picture.turn([], [interface.Admit(None, 3, 1, 1.0), interface.Withdraw("b", True)], {})
+    changes, _ = picture.apply_turn([], [interface.Admit(None, 3, 1, 1.0), interface.Withdraw("b", True)], {})
     assert SetShare(1, 1.0, False) in changes and SetWithdrawn("b", True) in changes
-    assert picture.turn([interface.Given(1, True), interface.Held(1, "b")], [], {})[0] == []
+    assert picture.apply_turn([interface.Given(1, True), interface.Held(1, "b")], [], {})[0] == []
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -164,14 +164,14 @@
     async with world(tmp_path, 1) as stand:
         answer = await asyncio.wait_for(ask(stand, sent), 2)
         assert answer.startswith(f"HTTP/1.1 {status}"), answer
-        assert not stand.nodes["n0"].came and not stand.gate.steering.coming
+        assert not stand.nodes["n0"].came and not stand.gate.steering.opening
 
 
 async def test_a_client_that_never_asks_is_closed_in_time_without_a_word(tmp_path: Path) -> None:
     async with world(tmp_path, 1) as stand:
         assert await asyncio.wait_for(ask(stand, b""), 2) == ""
         assert stand.gate.counters["screens.never_asked"] == 1
-        assert not stand.nodes["n0"].came and not stand.gate.steering.coming
+        assert not stand.nodes["n0"].came and not stand.gate.steering.opening
 
 
 async def test_a_handshake_that_drips_is_ended_too(tmp_path: Path) -> None:
@@ -343,7 +343,7 @@
     async with Party(meet) as node, world(tmp_path, nodes={"n0": at(node)}) as stand:
         told = await asyncio.wait_for(ask(stand, UPGRADE), 2)
         assert told.startswith("HTTP/1.1 503") and "Retry-After" in told
-        assert not stand.gate.steering.coming
+        assert not stand.gate.steering.opening
 
 
 async def test_a_node_that_sends_junk_or_falls_silent_is_left(tmp_path: Path) -> None:
@@ -437,7 +437,7 @@
         _, writer = await raw(stand)
         writer.write(frame(0x01, b"one "))  # a fragment; the drain begins before its end
         node = next(name for name, node in stand.nodes.items() if node.held)
-        await until(lambda: any(held.inside for held in stand.gate.steering.book))
+        await until(lambda: any(held.in_message for held in stand.gate.steering.connections))
         stand.set(**{node: "DRAINING"})
         await asyncio.sleep(0.3)
         writer.write(frame(0x80, b"message"))
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -163,7 +163,7 @@
         await asyncio.sleep(0.5)
         await stand.controller()
         steering = stand.gates["g0"].steering
-        await until(lambda: steering.plan.version.life > before.version.life)
+        await until(lambda: steering.plan.version.incarnation > before.version.incarnation)
         assert abs(steering.plan.ceilings["n0"].deadline_us - before.ceilings["n0"].deadline_us) < 400 * MS
         await until(lambda: not stand.nodes["n0"].held)
         assert clock_us() < begun + 4_000 * MS
@@ -223,9 +223,9 @@
         async with connect(stand.url("g0", f"/till?key={key}")) as till:
             await till.send(f"w {key} 1")
             gate = stand.gates["g0"]
-            await until(lambda: any(held.unproven for held in gate.steering.book))
+            await until(lambda: any(held.unconfirmed for held in gate.steering.connections))
             stand.list("n0", "Terminating")
-            await until(lambda: gate.steering.fences.unproven)
+            await until(lambda: gate.steering.barriers.unconfirmed)
             await until(lambda: gate.counters["fences.cut"])
             with pytest.raises(ConnectionClosed):
                 await till.recv()
@@ -249,7 +249,7 @@
             await till.send(f"w {key} 2")
             await board.send("still")  # reads and boards go on
             assert await board.recv() == "still"
-            await until(lambda: any(held.waiting for held in gate.steering.book))
+            await until(lambda: any(held.write_blocked for held in gate.steering.connections))
             assert len(stand.nodes["n1"].writes) == 1
             await stand.controller()
             assert await till.recv() == "ok 2"
@@ -265,7 +265,7 @@
         old = Plan(Version(1, 1), {}, {})
         gate.uplink.take(wire.plan_told(old, now))
         assert gate.counters["uplink.plans_old"] == 1
-        version = (gate.steering.plan.version.life, gate.steering.plan.version.number + 1)
+        version = (gate.steering.plan.version.incarnation, gate.steering.plan.version.number + 1)
         for points, place, returns in (
             ([(0, 0.5), (0, 0.4)], 0, 5.0),
             ([(0, 2.0)], 0, 5.0),
@@ -320,7 +320,7 @@
         await until(lambda: sum(standing.held for standing in controller.standings()) > 0.5)
         await until(lambda: sum(stand.desk.keeper.held().values()) == 30)
         await stand.kill_gate("g0")
-        stand.desk.keeper.left(stand.service.clock.now() - 6_000 * MS, "g0")
+        stand.desk.keeper.gate_left(stand.service.clock.now() - 6_000 * MS, "g0")
         await until(lambda: "g0" not in stand.desk.keeper.gates)
         await until(lambda: sum(standing.held for standing in controller.standings()) == 0)
         for board in held:
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -39,7 +39,7 @@
     made = list(second.differences(first))
     for change in made + made:
         first.apply(change)
-    assert (first.owners, first.shares, first.out) == (second.owners, second.shares, second.out)
+    assert (first.owners, first.shares, first.withdrawn) == (second.owners, second.shares, second.withdrawn)
     assert not list(second.differences(first))
 
 
@@ -50,66 +50,66 @@
 def test_a_mark_waits_for_the_writer_that_has_not_been_proven() -> None:
     made = steering()
     till = opened(made, TILL, key_of(0))
-    made.wrote(NOW, till, 10)
-    effects = made.apply([SetOwner(0, None), BarrierRequest(7)])
-    assert effects.stopped == [till.number] and effects.answers == []
+    made.message_written(NOW, till, 10)
+    effects = made.apply_changes([SetOwner(0, None), BarrierRequest(7)])
+    assert effects.stopped == [till.number] and effects.acknowledged == []
     assert not made.may_write(NOW, till)
-    assert made.proven(till, till.written) == [7]
-    assert made.apply([SetOwner(0, "n1"), BarrierRequest(8)]).answers == [8]
+    assert made.read_confirmed(till, till.written) == [7]
+    assert made.apply_changes([SetOwner(0, "n1"), BarrierRequest(8)]).acknowledged == [8]
     assert not made.may_write(NOW, till)  # it stands at the former owner
 
 
 def test_a_writer_that_has_written_nothing_new_holds_up_no_mark() -> None:
     made = steering()
     till = opened(made, TILL, key_of(0))
-    made.wrote(NOW, till, 10)
-    assert made.proven(till, 1) == []
-    assert made.apply([SetOwner(0, None), BarrierRequest(7)]).answers == [7]
+    made.message_written(NOW, till, 10)
+    assert made.read_confirmed(till, 1) == []
+    assert made.apply_changes([SetOwner(0, None), BarrierRequest(7)]).acknowledged == [7]
 
 
 def test_a_message_that_has_begun_holds_up_the_mark_to_its_end() -> None:
     made = steering()
     till = opened(made, TILL, key_of(0))
-    till.inside = True
-    assert made.apply([SetOwner(0, None), BarrierRequest(7)]).answers == []
-    made.wrote(NOW, till, 10)
-    till.inside = False
-    assert made.proven(till, 1) == [7]
+    till.in_message = True
+    assert made.apply_changes([SetOwner(0, None), BarrierRequest(7)]).acknowledged == []
+    made.message_written(NOW, till, 10)
+    till.in_message = False
+    assert made.read_confirmed(till, 1) == [7]
 
 
 def test_a_proof_older_than_a_later_write_proves_nothing_of_it() -> None:
     """Found by thought: owner, nobody, the same owner again, while the first ping's answer is on its way."""
     made = steering()
     till = opened(made, TILL, key_of(0))
-    made.wrote(NOW, till, 10)
+    made.message_written(NOW, till, 10)
     pinged = till.written
-    made.apply([SetOwner(0, None), BarrierRequest(1)])
-    made.apply([SetOwner(0, "n0"), BarrierRequest(2)])
+    made.apply_changes([SetOwner(0, None), BarrierRequest(1)])
+    made.apply_changes([SetOwner(0, "n0"), BarrierRequest(2)])
     assert made.may_write(NOW, till)
-    made.wrote(NOW, till, 10)
-    made.proven(till, pinged)  # late
-    assert till.unproven
-    assert made.apply([SetOwner(0, None), BarrierRequest(3)]).answers == []
+    made.message_written(NOW, till, 10)
+    made.read_confirmed(till, pinged)  # late
+    assert till.unconfirmed
+    assert made.apply_changes([SetOwner(0, None), BarrierRequest(3)]).acknowledged == []
 
 
 def test_marks_are_answered_in_order_and_a_new_stream_forgets_them_but_not_what_is_owed() -> None:
     fences = WriteBarriers()
-    fences.stop(1)
-    fences.ask(1)
-    fences.ask(2)
-    assert fences.answers() == []
-    fences.restart()
-    fences.ask(3)
-    assert fences.answers() == []
-    fences.prove(1)
-    assert fences.answers() == [3]
+    fences.await_confirmation(1)
+    fences.request(1)
+    fences.request(2)
+    assert fences.take_completed() == []
+    fences.reset()
+    fences.request(3)
+    assert fences.take_completed() == []
+    fences.confirm(1)
+    assert fences.take_completed() == [3]
 
 
 def test_the_lease_counts_from_when_the_answered_beat_was_sent() -> None:
     lease = WriteLease(1000, 200)
     lease.renew(50)
     lease.renew(20)
-    assert lease.holds(849) and not lease.holds(850)
+    assert lease.allows_writes(849) and not lease.allows_writes(850)
 
 
 def test_a_lease_that_the_controller_shortens_still_lets_writes_through() -> None:
@@ -117,32 +117,32 @@
     lease = WriteLease(3 * SECOND, 3 * SECOND)
     lease.length_us = SECOND
     lease.renew(NOW)
-    assert lease.holds(NOW + SECOND // 4) and not lease.holds(NOW + SECOND // 2)
+    assert lease.allows_writes(NOW + SECOND // 4) and not lease.allows_writes(NOW + SECOND // 2)
 
 
 def test_without_word_of_the_controller_writers_are_stopped_once() -> None:
     made = steering(lease_us=SECOND, early_us=SECOND // 10)
     assert made.lease is not None
     made.lease.renew(NOW)
-    made.expired(NOW)
+    made.expire_lease(NOW)
     till = opened(made, TILL, key_of(0))
-    made.wrote(NOW, till, 1)
+    made.message_written(NOW, till, 1)
     late = NOW + SECOND
     assert not made.may_write(late, till)
-    assert made.expired(late) == [till.number] and made.expired(late) == []
+    assert made.expire_lease(late) == [till.number] and made.expire_lease(late) == []
     made.lease.renew(late)
-    made.expired(late)
+    made.expire_lease(late)
     assert made.may_write(late, till)
 
 
 def test_writes_that_are_shut_or_at_a_node_shut_out_do_not_pass() -> None:
     made = steering()
     till = opened(made, TILL, key_of(0))
-    made.apply([SetShare(0, 1.0, True)])
+    made.apply_changes([SetShare(0, 1.0, True)])
     assert not made.may_write(NOW, till)
-    made.apply([SetShare(0, 1.0, False)])
+    made.apply_changes([SetShare(0, 1.0, False)])
     assert made.may_write(NOW, till)
-    made.apply([SetWithdrawn("n0", True)])
+    made.apply_changes([SetWithdrawn("n0", True)])
     assert not made.may_write(NOW, till)
 
 
@@ -162,7 +162,7 @@
             answered.append(answer)
             stale = {n: w for n, writes in unread.items() for w in writes if w < answer and w >= 0}
             for number, written_at in stale.items():
-                one = made.book.by_number[number]
+                one = made.connections.by_number[number]
                 assert made.tables.may_write(one.slice, one.node) or changed.get(one.slice, 0) > answer, (
                     f"mark {answer} answered, connection {number} has unread bytes of {written_at}"
                 )
@@ -174,48 +174,48 @@
             case 0 | 1:
                 one = chance.choice(held)
                 if made.may_write(now, one):
-                    made.wrote(now, one, 5)
+                    made.message_written(now, one, 5)
                     unread.setdefault(one.number, []).append(mark)
             case 2:
                 mark += 1
                 number = chance.randrange(8)
-                effects = made.apply(
+                effects = made.apply_changes(
                     [SetOwner(number, chance.choice([None, "n0", "n1", "n2"])), BarrierRequest(mark)]
                 )
                 changed[number] = mark
                 asked.append(mark)
-                pings += [(number, made.book.by_number[number].written) for number in effects.stopped]
-                heard(effects.answers)
+                pings += [(number, made.connections.by_number[number].written) for number in effects.stopped]
+                heard(effects.acknowledged)
             case 3 if pings:  # answers come in order at each connection, late against others
                 number, written = pings.pop(chance.randrange(len(pings)))
-                one = made.book.by_number[number]
+                one = made.connections.by_number[number]
                 gone = written - (one.written - len(unread.get(number, ())))
                 unread[number] = unread.get(number, [])[max(0, gone) :]
-                heard(made.proven(one, written))
+                heard(made.read_confirmed(one, written))
             case 4:
                 one = chance.choice(held)
                 unread.pop(one.number, None)
-                heard(made.cut(one))
+                heard(made.node_disconnected(one))
     assert answered == sorted(answered) and set(answered) <= set(asked)
 
 
 def test_a_key_goes_to_its_owner_and_nowhere_else() -> None:
     made = steering()
     for number in range(8):
-        go = made.arrive(NOW, TILL, key_of(number))
+        go = made.admit(NOW, TILL, key_of(number))
         assert go == Admitted(f"n{number % 2}", number)
-    made.apply([SetOwner(0, None)])
-    refused = made.arrive(NOW, TILL, key_of(0))
+    made.apply_changes([SetOwner(0, None)])
+    refused = made.admit(NOW, TILL, key_of(0))
     assert isinstance(refused, Refused) and refused.retry_after_us >= SECOND // 2
 
 
 def test_a_writer_without_a_key_is_unfit() -> None:
-    assert isinstance(steering().arrive(NOW, TILL, None), Unsupported)
+    assert isinstance(steering().admit(NOW, TILL, None), Unsupported)
 
 
 def test_quiet_screens_go_where_room_is_and_not_to_a_node_that_leaves() -> None:
     made = steering(3)
-    made.follow(
+    made.apply_plan(
         NOW,
         Plan(
             Version(0, 2),
@@ -225,39 +225,39 @@
     )
     for _ in range(150):
         opened(made, BOARD, None)
-    assert made.book.count("n0") == 0
-    assert abs(made.book.count("n1") - made.book.count("n2")) < 25
+    assert made.connections.count("n0") == 0
+    assert abs(made.connections.count("n1") - made.connections.count("n2")) < 25
 
 
 def test_a_full_node_is_refused_and_says_when_to_come_back() -> None:
     made = steering()
-    made.follow(
+    made.apply_plan(
         NOW, Plan(Version(0, 2), {}, {"n0": Allotment(1, 1000.0, 10), "n1": Allotment(0, 1000.0, 10)})
     )
     opened(made, BOARD, None)
-    answer = made.arrive(NOW, BOARD, None)
+    answer = made.admit(NOW, BOARD, None)
     assert isinstance(answer, Refused) and answer.why == "nodes full"
-    made.gone(next(iter(made.book)))
-    assert isinstance(made.arrive(NOW, BOARD, None), Admitted)
+    made.closed(next(iter(made.connections)))
+    assert isinstance(made.admit(NOW, BOARD, None), Admitted)
 
 
 def test_what_fails_on_the_way_gives_its_place_back() -> None:
     made = steering(1)
-    made.follow(NOW, Plan(Version(0, 2), {}, {"n0": Allotment(1, 1.0, 1)}))
+    made.apply_plan(NOW, Plan(Version(0, 2), {}, {"n0": Allotment(1, 1.0, 1)}))
     for _ in range(5):
-        go = made.arrive(NOW, BOARD, None)
+        go = made.admit(NOW, BOARD, None)
         assert isinstance(go, Admitted)
-        made.fail(go.node)
-    assert made.held_at("n0") == 0 and not made.coming
+        made.admission_failed(go.node)
+    assert made.held_at("n0") == 0 and not made.opening
 
 
 def test_a_plan_that_is_not_newer_changes_nothing() -> None:
     made = steering()
     new = Plan(Version(5, 2), {"n0": falling(0, NOW)}, {})
-    assert made.follow(NOW, new)
-    assert not made.follow(NOW, Plan(Version(5, 2), {}, {}))  # twice
-    assert not made.follow(NOW, Plan(Version(5, 1), {}, {}))  # out of order
-    assert not made.follow(NOW, Plan(Version(4, 9), {}, {}))  # of an earlier life
+    assert made.apply_plan(NOW, new)
+    assert not made.apply_plan(NOW, Plan(Version(5, 2), {}, {}))  # twice
+    assert not made.apply_plan(NOW, Plan(Version(5, 1), {}, {}))  # out of order
+    assert not made.apply_plan(NOW, Plan(Version(4, 9), {}, {}))  # of an earlier life
     assert made.plan is new
 
 
@@ -265,17 +265,17 @@
     made = steering(2)
     for _ in range(300):
         opened(made, BOARD, None)
-    at_n0 = made.book.count("n0")
+    at_n0 = made.connections.count("n0")
     line = falling(at_n0, NOW + 2 * SECOND, NOW - 8 * SECOND)
-    made.follow(NOW, Plan(Version(0, 2), {"n0": line}, {"n1": ROOMY}))
+    made.apply_plan(NOW, Plan(Version(0, 2), {"n0": line}, {"n1": ROOMY}))
     now, most = NOW, 0
     while now <= NOW + 2 * SECOND:
         releases = made.tick(now, SECOND // 10)
         most = max(most, len(releases))
         for release in releases:
-            made.gone(made.book.by_number[release.number])
+            made.closed(made.connections.by_number[release.number])
         now += SECOND // 10
-    assert most <= at_n0 // 4 and made.book.count("n0") == 0
+    assert most <= at_n0 // 4 and made.connections.count("n0") == 0
 
 
 def test_the_least_disturbing_go_first() -> None:
@@ -284,12 +284,12 @@
         opened(made, kind, key)
         for kind, key in ((BOARD, None), (BOARD, None), (TILL, key_of(1)), (BOARD, None))
     )
-    quiet.last_us, busy.last_us, inside.last_us = NOW - 60 * SECOND, NOW, 0
-    blocked.waiting, inside.inside = True, True
-    chosen = release_policy.choose(made.book.at("n0"), 4, NOW, False)
+    quiet.last_message_us, busy.last_message_us, inside.last_message_us = NOW - 60 * SECOND, NOW, 0
+    blocked.write_blocked, inside.in_message = True, True
+    chosen = release_policy.choose(made.connections.at_node("n0"), 4, NOW, False)
     assert [(r.number, r.how) for r in chosen] == [
         (blocked.number, "close"),
         (quiet.number, "move"),
         (busy.number, "move"),
     ]
-    assert (inside.number, "close") in release_policy.choose(made.book.at("n0"), 4, NOW, True)
+    assert (inside.number, "close") in release_policy.choose(made.connections.at_node("n0"), 4, NOW, True)
