--- a/lapispass/core/connection_controller.py
+++ b/lapispass/core/connection_controller.py
@@ -1,9 +1,9 @@
-"""The controller's part for held connections: books of all gates, costs, drains, and a plan for each gate.
+"""The connection controller: steers the held connections of all gates by a plan for each gate.
 
-Pure. Told what gates report and how the deciding module sees the nodes, it says what each gate may hold
-where, and what the held connections weigh as load, which goes back to the module as an event. Its memory is
-the gates': each tells, when it joins, what it holds and how much of each drain's time is left, so a
-controller that starts anew goes on.
+It does no I/O. From the reports of the gates and the controller module's view of the nodes it derives what
+each gate may hold at each node, and the load of the held connections, which goes back to the controller
+module as an event. It stores nothing: each gate reports when it joins what it holds and how much time each
+drain has left, so a restarted controller continues from there.
 """
 
 from __future__ import annotations
@@ -17,19 +17,18 @@
 from lapispass.core.plans import NO_VERSION, Ceiling, Curve, Plan, Version
 from lapispass.core.shared_types import SECOND, Bounds, ConnectionClass, DrainTerms, NodeId, NodeView
 
-REPLAN_US = 1 * SECOND  # where nothing has changed but counts and warmth
-SETTLE_US = 3 * SECOND  # after a start: probes may still be out
-GATE_RETENTION_US = (
-    5 * SECOND
-)  # what a gate held that is gone counts for so long; its screens are on their way back
-RETURN_SHARE = (
-    0.5  # of what nodes take in: screens that were told when to come back; the rest comes by itself
-)
+REPLAN_US = 1 * SECOND  # interval of plans while only counts and the warm-up of nodes change
+SETTLE_US = 3 * SECOND  # after a start, because probes may still be under way
+# How long the connections of a gate that left are still counted, while its clients are coming back.
+GATE_RETENTION_US = 5 * SECOND
+# The share of the nodes' intake for clients that were asked to come back at a given time. The rest is for
+# clients that connect on their own.
+RETURN_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class ReportedCounts:
-    """What a gate tells of one class at one node."""
+    """What a gate reports of one class at one node."""
 
     held: int
     opened: int = 0
@@ -39,7 +38,7 @@
 
 @dataclass
 class GateState:
-    """One gate, as last reported."""
+    """The state of one gate by its last report."""
 
     name: str
     zone: str
@@ -48,7 +47,7 @@
     reported_at: int = 0
     serial: int = -1
     rows: dict[NodeId, dict[str, ReportedCounts]] = field(default_factory=dict)
-    arrival_rates: dict[NodeId, float] = field(default_factory=dict)  # new ones a second, faded
+    arrival_rates: dict[NodeId, float] = field(default_factory=dict)  # new connections/s, decaying average
     refused: float = 0.0
     last_plan: Plan = field(default_factory=lambda: Plan(NO_VERSION))
 
@@ -58,15 +57,15 @@
 
 @dataclass
 class ControllerOutput:
-    """What follows from a look."""
+    """The result of an evaluation."""
 
     plans: dict[str, Plan] = field(default_factory=dict)
-    loads: dict[NodeId, float] = field(default_factory=dict)  # visits a second, where it has changed
+    loads: dict[NodeId, float] = field(default_factory=dict)  # requests/s, only where it has changed
     notes: list[str] = field(default_factory=list)
 
 
 class ConnectionController:
-    """One controller's view of all held connections."""
+    """Plans the held connections of all gates of one controller."""
 
     def __init__(
         self, classes: Iterable[ConnectionClass], bounds: Bounds, terms: DrainTerms, now: int
@@ -78,28 +77,29 @@
         )
         self.gates: dict[str, GateState] = {}
         self.nodes: dict[NodeId, NodeView] = {}
-        self.drains: dict[NodeId, int] = {}  # deadlines, of nodes that leave now
-        self.inherited_drains: dict[
-            NodeId, int
-        ] = {}  # deadlines that gates still know, of nodes not seen to leave yet
+        self.drains: dict[NodeId, int] = {}  # node: deadline, for nodes that are draining now
+        # node: deadline that a gate reported, for nodes that are not known to drain yet
+        self.inherited_drains: dict[NodeId, int] = {}
         self.incarnation, self.plan_number = now, 0
         self.started_at, self.planned_at, self.replan_needed = now, 0, True
         self.loads: dict[NodeId, float] = {}
         self.forecast = drain.DrainForecast()
 
-    # what gates tell
+    # reports of gates
 
     def gate_joined(
         self, now: int, gate: str, zone: str, version: Version, left_us: Mapping[NodeId, int]
     ) -> None:
-        """A gate's stream stands. What is left of its drains is kept to; a plan of a later life than ours
-        is outdone."""
-        book = self.gates.setdefault(gate, GateState(gate, zone))
-        book.zone, book.connected, book.serial, book.reported_at = zone, True, -1, now
-        book.last_plan = Plan(NO_VERSION)
-        if (
-            version.incarnation >= self.incarnation
-        ):  # Guards against a clock that went back between two lives.
+        """A gate's stream is established.
+
+        The time left of its drains is respected. If the gate has a plan of a later incarnation, this
+        controller adopts a still later one.
+        """
+        state = self.gates.setdefault(gate, GateState(gate, zone))
+        state.zone, state.connected, state.serial, state.reported_at = zone, True, -1, now
+        state.last_plan = Plan(NO_VERSION)
+        # Otherwise, if the clock went back between two incarnations, the gate would reject new plans as old.
+        if version.incarnation >= self.incarnation:
             self.incarnation, self.plan_number = version.incarnation + 1, 0
         for node, left in left_us.items():
             deadline = now + left
@@ -108,37 +108,39 @@
         self.replan_needed = True
 
     def gate_left(self, now: int, gate: str) -> None:
-        """Its stream ended; what it held counts for a while, then it is forgotten."""
-        if book := self.gates.get(gate):
-            book.connected, book.disconnected_at = False, now
+        """The gate's stream has ended. What it held counts for a while longer; then the gate is removed."""
+        if state := self.gates.get(gate):
+            state.connected, state.disconnected_at = False, now
 
     def report_received(
         self, now: int, gate: str, serial: int, rows: Mapping[NodeId, Mapping[str, ReportedCounts]]
     ) -> None:
-        """All that a gate holds, and what passed since its last report. An older report than the last is
-        left out."""
-        book = self.gates.get(gate)
-        if book is None or serial <= book.serial:
+        """Takes in a report: all that a gate holds, and what passed since its last report.
+
+        A report that is not newer than the last one is ignored.
+        """
+        state = self.gates.get(gate)
+        if state is None or serial <= state.serial:
             return
-        took = max(SECOND // 100, now - book.reported_at)
-        book.serial, book.reported_at = serial, now
-        book.rows = {node: dict(by_class) for node, by_class in rows.items()}
-        fade = 0.5 ** (took / (4 * SECOND))
-        for node in book.arrival_rates.keys() | rows.keys():
+        elapsed = max(SECOND // 100, now - state.reported_at)
+        state.serial, state.reported_at = serial, now
+        state.rows = {node: dict(by_class) for node, by_class in rows.items()}
+        decay = 0.5 ** (elapsed / (4 * SECOND))
+        for node in state.arrival_rates.keys() | rows.keys():
             opened = sum(row.opened for row in rows.get(node, {}).values())
-            rate = book.arrival_rates.get(node, 0.0) * fade + (1 - fade) * opened * SECOND / took
-            book.arrival_rates[node] = rate
+            rate = state.arrival_rates.get(node, 0.0) * decay + (1 - decay) * opened * SECOND / elapsed
+            state.arrival_rates[node] = rate
             if rate < 0.001 and node not in rows:
-                del book.arrival_rates[node]
+                del state.arrival_rates[node]
         for name in self.classes:
             held = sum(by_class[name].held for by_class in rows.values() if name in by_class)
-            passed = sum(by_class[name].messages for by_class in rows.values() if name in by_class)
-            self.costs.observe_messages(name, held, passed * SECOND / took)
+            messages = sum(by_class[name].messages for by_class in rows.values() if name in by_class)
+            self.costs.observe_messages(name, held, messages * SECOND / elapsed)
 
-    # what the module tells
+    # the view of the controller module
 
     def update_nodes(self, now: int, views: Iterable[NodeView]) -> None:
-        """How the module sees the nodes now. A change of state is planned for at once."""
+        """Takes in the current view of all nodes. A change of state leads to a new plan at once."""
         nodes = {view.node: view for view in views}
         if {node: view.state for node, view in nodes.items()} != {n: v.state for n, v in self.nodes.items()}:
             self.replan_needed = True
@@ -147,11 +149,13 @@
             if view.draining and node not in self.drains:
                 self.drains[node] = self.inherited_drains.pop(node, now + self.terms.usable_us)
             elif not view.draining:
-                self.drains.pop(node, None)  # called off, or it is back: what is still there stays
+                # The drain was cancelled or the node is back: connections that are left there stay.
+                self.drains.pop(node, None)
         for node in self.drains.keys() - nodes.keys():
             del self.drains[node]
         if now > self.started_at + SETTLE_US:
-            self.inherited_drains.clear()  # drains that only gates knew of, and the list does not
+            # Only gates reported these drains; by now the nodes would be listed as draining.
+            self.inherited_drains.clear()
         for view in nodes.values():
             if view.utilization:
                 self.costs.observe(
@@ -162,21 +166,21 @@
                     view.accepts_connections and view.warmth(now, self.intake.bounds) >= 1,
                 )
 
-    # books
+    # sums over gates
 
     def held_by_class(self, node: NodeId) -> dict[str, int]:
-        """All gates together."""
+        """The connections at a node by class, over all gates."""
         sums: dict[str, int] = {}
-        for book in self.gates.values():
-            for name, row in book.rows.get(node, {}).items():
+        for gate in self.gates.values():
+            for name, row in gate.rows.get(node, {}).items():
                 sums[name] = sums.get(name, 0) + row.held
         return sums
 
     def held(self) -> dict[NodeId, int]:
-        """All classes and gates together."""
+        """The connections at each node, over all classes and gates."""
         sums: dict[NodeId, int] = {}
-        for book in self.gates.values():
-            for node, by_class in book.rows.items():
+        for gate in self.gates.values():
+            for node, by_class in gate.rows.items():
                 sums[node] = sums.get(node, 0) + sum(row.held for row in by_class.values())
         return sums
 
@@ -187,22 +191,22 @@
             sums[zone] = sums.get(zone, 0) + count
         return sums
 
-    def load(self, node: NodeView, now: int, usual: float) -> float:
-        """What a node holds as visits a second: its work, or the part of its places that is taken, if that
-        is more.
+    def load(self, node: NodeView, now: int, default_rate: float) -> float:
+        """The load of a node's held connections in requests/s.
 
-        The second is for quiet screens: a node whose places are all taken can take no screen of a further
-        slice, however little work it has.
+        This is the work that they cause, or the occupied share of the node's connection limit, whichever is
+        more. The second term matters for idle clients: a node at its connection limit cannot take the clients
+        of another slice, however little work it has.
         """
         held = self.held_by_class(node.node)
-        most = max(1, self.intake.max_held(now, node))
-        able = (self.costs.capacity() or usual) * (node.weight or 1.0)
-        return max(self.costs.load(held), able * min(1.0, sum(held.values()) / most))
+        limit = max(1, self.intake.max_held(now, node))
+        capacity = (self.costs.capacity() or default_rate) * (node.weight or 1.0)
+        return max(self.costs.load(held), capacity * min(1.0, sum(held.values()) / limit))
 
-    # looks
+    # evaluation
 
     def evaluate(self, now: int) -> ControllerOutput:
-        """Called often; plans are made when something has changed, and else once a second."""
+        """To be called often. Makes plans when something has changed, and otherwise every `REPLAN_US`."""
         orders = ControllerOutput()
         for name in [
             n
@@ -211,10 +215,10 @@
         ]:
             del self.gates[name]
             self.replan_needed = True
-        paces = [view.requests_per_s for view in self.nodes.values() if view.requests_per_s]
-        usual = sum(paces) / len(paces) if paces else 1.0
+        rates = [view.requests_per_s for view in self.nodes.values() if view.requests_per_s]
+        mean_rate = sum(rates) / len(rates) if rates else 1.0
         for node, view in self.nodes.items():
-            load = round(self.load(view, now, usual), 2)
+            load = round(self.load(view, now, mean_rate), 2)
             old = self.loads.get(node, 0.0)
             if abs(load - old) > 0.05 * max(old, 1.0):
                 self.loads[node] = orders.loads[node] = load
@@ -226,119 +230,127 @@
         return orders
 
     def settled(self, now: int) -> bool:
-        """Whether enough is known: what a start has not heard of yet is no reason to refuse anyone."""
+        """Whether enough is known to plan.
+
+        After a start, nodes that are not known yet must not lead to refused connections.
+        """
         states = {view.state for view in self.nodes.values()}
-        known = states & {
-            "ready",
-            "out",
-            "ill",
-        }  # where all leave at once, nobody is ready, and drains are kept all the same
+        # Draining nodes count: if all nodes drain at once, none is ready, and the drains still need plans.
+        known = states & {"ready", "out", "ill"}
         return bool(known) and ("unproven" not in states or now > self.started_at + SETTLE_US)
 
     def make_plans(self, now: int, orders: ControllerOutput) -> None:
-        """A plan for each gate that stands; one that says what stands already is not sent again."""
-        standing = [book for book in self.gates.values() if book.connected]
-        if not standing:
+        """Makes a plan for each connected gate; a plan that changes nothing is not sent again."""
+        connected = [gate for gate in self.gates.values() if gate.connected]
+        if not connected:
             return
         held = self.held()
         full = {node: self.free_share(view) for node, view in self.nodes.items()}
-        leaving = [
+        draining = [
             drain.DrainingNode(
                 node,
                 max(deadline, now + SECOND // 10),
-                {book.name: count for book in standing if (count := self.remaining(now, book, node))},
+                {gate.name: count for gate in connected if (count := self.remaining(now, gate, node))},
             )
             for node, deadline in sorted(self.drains.items())
         ]
-        ceilings, outlook = drain.plan(now, leaving, list(self.nodes.values()), held, self.intake, full)
-        for node in leaving:  # empty or not, nobody goes there any more
-            for book in standing:
-                ceilings.setdefault(book.name, {}).setdefault(
+        ceilings, forecast = drain.plan(now, draining, list(self.nodes.values()), held, self.intake, full)
+        for node in draining:  # also empty ones get a ceiling, so that no new connections go there
+            for gate in connected:
+                ceilings.setdefault(gate.name, {}).setdefault(
                     node.node, Ceiling(Curve(((now, 0.0),), node.deadline_us), 0, 0.0)
                 )
-        if outlook.connections and (outlook.connections, outlook.overflow) != (
+        if forecast.connections and (forecast.connections, forecast.overflow) != (
             self.forecast.connections,
             self.forecast.overflow,
         ):
             orders.notes.append(
-                f"{len(leaving)} nodes leave with {outlook.connections} connections, "
-                f"{outlook.peak_per_s:.1f}/s at most of {outlook.intake_per_s:.1f}/s, "
-                f"{outlook.overflow} come back later than the grace"
+                f"{len(draining)} nodes drain {forecast.connections} connections, "
+                f"at most {forecast.peak_per_s:.1f}/s of an intake of {forecast.intake_per_s:.1f}/s; "
+                f"{forecast.overflow} come back after the grace period"
             )
-        self.forecast = outlook
-        allotted = self.allot(now, standing, full)
-        returns = self.return_rates(now, standing)
+        self.forecast = forecast
+        allotted = self.allot(now, connected, full)
+        returns = self.return_rates(now, connected)
         self.plan_number += 1
-        for book in standing:
+        for gate in connected:
             new = Plan(
                 Version(self.incarnation, self.plan_number),
-                ceilings.get(book.name, {}),
-                allotted.get(book.name, {}),
-                returns[book.name],
+                ceilings.get(gate.name, {}),
+                allotted.get(gate.name, {}),
+                returns[gate.name],
                 self.terms.come_back_least_us,
                 self.terms.come_back_most_us,
                 frozenset(node for node, view in self.nodes.items() if view.state == "gone"),
             )
-            if not close_enough(book.last_plan, new, now):
-                book.last_plan = orders.plans[book.name] = new
+            if not close_enough(gate.last_plan, new, now):
+                gate.last_plan = orders.plans[gate.name] = new
 
-    def remaining(self, now: int, book: GateState, node: NodeId) -> int:
-        """What a gate holds at a node that leaves, as its plan has it by now.
+    def remaining(self, now: int, gate: GateState, node: NodeId) -> int:
+        """What a gate holds at a draining node now, according to its last plan.
 
-        Guards against a drain that slows down with each plan: reports are late, and a line that began anew
-        at the count they tell would lie above what stands, so that nobody went until it had sunk to that.
+        Without this a drain would slow down with each plan. Reports are late, and a new ceiling that starts
+        at the reported count would lie above what is held: no connection would leave until the ceiling had
+        fallen to that.
         """
-        held = book.held(node)
-        line = book.last_plan.ceilings.get(node)
-        return held if line is None else min(held, line.at(now))
+        held = gate.held(node)
+        ceiling = gate.last_plan.ceilings.get(node)
+        return held if ceiling is None else min(held, ceiling.at(now))
 
     def free_share(self, view: NodeView) -> float:
-        """The part of a node that its visits leave to connections; a tenth at least, while speeds are only
-        learned."""
-        able = self.costs.capacity() * (view.weight or 1.0)
-        return max(0.1, 1 - view.requests_per_s / able) if able else 1.0
+        """The share of a node that its requests leave for connections.
+
+        It is at least a tenth, because the capacity of nodes is only an estimate.
+        """
+        capacity = self.costs.capacity() * (view.weight or 1.0)
+        return max(0.1, 1 - view.requests_per_s / capacity) if capacity else 1.0
 
     def allot(
-        self, now: int, standing: list[GateState], full: Mapping[NodeId, float]
+        self, now: int, connected: list[GateState], full: Mapping[NodeId, float]
     ) -> dict[str, dict[NodeId, Allotment]]:
-        """Each node shared out among the gates, by what they hold, what comes to them, and what they must
-        let go."""
-        letting_go = {
-            book.name: sum(
-                book.held(node) * SECOND / max(SECOND, deadline - now)
+        """Divides each node among the gates.
+
+        The division depends on what the gates hold, on the rate of their new connections, and on what they
+        have to release.
+        """
+        release_rates = {
+            gate.name: sum(
+                gate.held(node) * SECOND / max(SECOND, deadline - now)
                 for node, deadline in self.drains.items()
             )
-            for book in standing
+            for gate in connected
         }
         shares: dict[str, dict[NodeId, Allotment]] = {}
-        takers = max(1, sum(view.accepts_connections for view in self.nodes.values()))
-        gone = [book for book in self.gates.values() if not book.connected]
+        destinations = max(1, sum(view.accepts_connections for view in self.nodes.values()))
+        disconnected = [gate for gate in self.gates.values() if not gate.connected]
         for node, view in self.nodes.items():
             if view.draining or view.state in ("gone", "past"):
                 continue
             demands = {
-                book.name: Demand(
-                    book.held(node), book.arrival_rates.get(node, 0.0) + letting_go[book.name] / takers
+                gate.name: Demand(
+                    gate.held(node),
+                    gate.arrival_rates.get(node, 0.0) + release_rates[gate.name] / destinations,
                 )
-                for book in standing
+                for gate in connected
             }
-            kept = sum(book.held(node) for book in gone)  # Guards rule 4: they may stand there still
-            for gate, part in self.intake.allot(now, view, demands, full.get(node, 1.0), kept).items():
-                shares.setdefault(gate, {})[node] = part
+            # Rule 4: disconnected gates may still hold their connections.
+            kept = sum(gate.held(node) for gate in disconnected)
+            for name, allotment in self.intake.allot(now, view, demands, full.get(node, 1.0), kept).items():
+                shares.setdefault(name, {})[node] = allotment
         return shares
 
-    def return_rates(self, now: int, standing: list[GateState]) -> dict[str, float]:
-        """How many screens a second each gate may ask back."""
-        together = RETURN_SHARE * sum(self.intake.new_per_s(now, view) for view in self.nodes.values())
-        weights = {book.name: 1.0 + sum(book.held(node) for node in book.rows) for book in standing}
-        return {name: max(0.1, together * weight / sum(weights.values())) for name, weight in weights.items()}
+    def return_rates(self, now: int, connected: list[GateState]) -> dict[str, float]:
+        """How many clients per second each gate may ask to come back."""
+        total = RETURN_SHARE * sum(self.intake.new_per_s(now, view) for view in self.nodes.values())
+        weights = {gate.name: 1.0 + sum(gate.held(node) for node in gate.rows) for gate in connected}
+        return {name: max(0.1, total * weight / sum(weights.values())) for name, weight in weights.items()}
 
 
 def close_enough(old: Plan, new: Plan, now: int) -> bool:
-    """Whether a gate that has the old plan would do the same under the new one, within a twentieth.
+    """Whether a gate would do the same under both plans, within a twentieth.
 
-    Times of a drain that goes as planned come out the same each time, but for rounding: what counts is the
-    deadline, and the ceiling now and half way to it.
+    While a drain goes as planned, its curve comes out the same in each plan except for rounding. So only the
+    deadline and the ceiling now and half-way to the deadline are compared.
     """
     if (
         old.version == NO_VERSION
@@ -348,17 +360,17 @@
     ):
         return False
     for node, ceiling in new.ceilings.items():
-        before, middle = old.ceilings[node], (now + ceiling.deadline_us) // 2
-        if abs(before.deadline_us - ceiling.deadline_us) > SECOND // 10:
+        old_ceiling, middle = old.ceilings[node], (now + ceiling.deadline_us) // 2
+        if abs(old_ceiling.deadline_us - ceiling.deadline_us) > SECOND // 10:
             return False
-        if any(abs(before.at(at) - ceiling.at(at)) > 2 + ceiling.at(now) // 20 for at in (now, middle)):
+        if any(abs(old_ceiling.at(at) - ceiling.at(at)) > 2 + ceiling.at(now) // 20 for at in (now, middle)):
             return False
-    for node, part in new.allotted.items():
-        had = old.allotted[node]
+    for node, allotment in new.allotted.items():
+        old_allotment = old.allotted[node]
         if (
-            not _near(had.held, part.held)
-            or not _near(had.new_per_s, part.new_per_s)
-            or had.burst != part.burst
+            not _near(old_allotment.held, allotment.held)
+            or not _near(old_allotment.new_per_s, allotment.new_per_s)
+            or old_allotment.burst != allotment.burst
         ):
             return False
     return _near(old.returns_per_s, new.returns_per_s)
--- a/lapispass/core/connections.py
+++ b/lapispass/core/connections.py
@@ -1,4 +1,4 @@
-"""What a gate holds: each connection's standing, found by node, by slice and by class."""
+"""The connections that a gate holds, with their state, indexed by number, by node and by slice."""
 
 from __future__ import annotations
 
@@ -10,38 +10,38 @@
 
 @dataclass(slots=True, eq=False)
 class HeldConnection:
-    """One connection as decisions see it; its tunnel keeps it up to date."""
+    """The state of one connection that decisions need; its tunnel keeps it up to date."""
 
     number: int
     kind: ConnectionClass
-    slice: int | None  # none: it has no key, and any node serves it
+    slice: int | None  # `None` without a key: any node may serve it
     node: NodeId
     opened_us: int
-    last_message_us: int  # when a message last passed, either way
+    last_message_us: int  # when the last message passed, in either direction
     key: str = ""
-    written: int = 0  # pieces that have been sent to its node ...
-    read: int = 0  # ... and how many of them the node has been shown to have read
-    in_message: bool = False  # in the middle of a message from the screen
-    write_blocked: bool = False  # a message of the screen may not be sent yet
-    releasing: bool = False  # a move or a close is under way
+    written: int = 0  # pieces of messages that have been sent to its node
+    read: int = 0  # how many of them the node is known to have read
+    in_message: bool = False  # in the middle of a message from the client
+    write_blocked: bool = False  # a message from the client waits and may not be sent yet
+    releasing: bool = False  # being moved or closed
     failed_moves: int = 0
-    messages: int = 0  # since the last report
+    messages: int = 0  # since the last report, as `octets`
     octets: int = 0
 
     @property
     def unconfirmed(self) -> bool:
-        """Whether it has sent what its node has not been shown to have read."""
+        """Whether something has been sent that the node is not known to have read."""
         return self.written != self.read
 
     @property
     def bound(self) -> bool:
-        """Whether only its slice's owner serves it."""
+        """Whether only the owner of its slice may serve it."""
         return self.slice is not None
 
 
 @dataclass(slots=True)
 class ConnectionCounts:
-    """What a gate holds of one class at one node."""
+    """What a gate holds of one class at one node, and what passed since the last report."""
 
     held: int = 0
     messages: int = 0
@@ -51,7 +51,7 @@
 
 @dataclass
 class ConnectionIndex:
-    """All that is held, indexed; empty indexes are forgotten."""
+    """All connections held, indexed. Indexes that become empty are removed."""
 
     by_number: dict[int, HeldConnection] = field(default_factory=dict)
     by_node: dict[NodeId, dict[int, HeldConnection]] = field(default_factory=dict)
@@ -67,8 +67,8 @@
         self.count_opened(held)
 
     def count_opened(self, held: HeldConnection) -> None:
-        place = held.node, held.kind.name
-        self.opened[place] = self.opened.get(place, 0) + 1
+        key = held.node, held.kind.name
+        self.opened[key] = self.opened.get(key, 0) + 1
 
     def remove(self, held: HeldConnection) -> None:
         if self.by_number.pop(held.number, None) is None:
@@ -106,7 +106,7 @@
         return iter(self.by_number.values())
 
     def report(self) -> dict[NodeId, dict[str, ConnectionCounts]]:
-        """What stands, and what passed since the last report; the sums begin anew."""
+        """What is held by node and class, and what passed since the last report. Resets those sums."""
         rows: dict[NodeId, dict[str, ConnectionCounts]] = {}
         for (node, name), count in self.opened.items():
             rows.setdefault(node, {}).setdefault(name, ConnectionCounts()).opened = count
--- a/lapispass/core/drain.py
+++ b/lapispass/core/drain.py
@@ -1,10 +1,11 @@
-"""The drain plan: how many connections may still stand at each node that leaves, at each moment of its grace.
-
-All nodes that leave are planned as one, because they lean on the same destinations. The grace is cut into
-slots; in each slot the destinations take so many new ones (a cold one its share, rising). Groups of nodes
-with the same deadline are filled in, the earliest deadline first, each as evenly as the slots' room allows
-(water-filling). What does not fit before its deadline is still closed before it, evenly, since the drain is
-kept (rule 3): its screens are then asked to come back later, and admission holds them to what the
+"""The drain plan: how many connections each draining node may still hold at each moment of its grace period.
+
+All draining nodes are planned together, because their connections move to the same destinations. The grace
+period is divided into slots. In each slot the destinations take a limited number of new connections (a cold
+destination only its rising share). Groups of nodes with the same deadline are placed into the slots, the
+earliest deadline first, each group as evenly as the room in the slots allows (water-filling). Connections
+that do not fit before their deadline are still closed before it, evenly, because the deadline of a drain is
+kept (rule 3). Their clients are then asked to come back later, and admission limits them to what the
 destinations take (rule 4).
 """
 
@@ -22,11 +23,11 @@
 from lapispass.core.shared_types import SECOND, NodeId, NodeView
 
 MAX_SLOTS = 120
-DRAIN_SHARE = 0.7  # of what destinations take; the rest is for screens that come by themselves
+DRAIN_SHARE = 0.7  # of what destinations take; the rest is for clients that connect on their own
 
 
 class DrainingNode(NamedTuple):
-    """A node that leaves: when its last connection must be closed, and what each gate holds there."""
+    """A draining node: when its last connection must be closed, and what each gate holds there."""
 
     node: NodeId
     deadline_us: int
@@ -35,7 +36,7 @@
 
 @dataclass
 class DrainForecast:
-    """What a plan expects; for logs, reports and tests."""
+    """The expected course of a drain plan, for logs, reports and tests."""
 
     connections: int = 0
     peak_per_s: float = 0.0
@@ -45,7 +46,7 @@
 
 
 def time_slots(now: int, end_us: int) -> tuple[int, int]:
-    """Number and width of slots from now to the end."""
+    """The number and the width of the slots from now to the end."""
     span = max(1, end_us - now)
     count = min(MAX_SLOTS, max(1, span // (SECOND // 20)))
     return count, -(-span // count)
@@ -60,40 +61,45 @@
     intake: Intake,
     full: Mapping[NodeId, float],
 ) -> list[float]:
-    """How many more the destinations take in each slot: their pace, and what is left of their room by
-    then."""
+    """How many connections the destinations can take in each slot.
+
+    This is limited by their connection rates and by the room that is left at that time.
+    """
     rooms = [0.0] * count
     for node in nodes:
         if not node.accepts_connections:
             continue
         taken = 0.0
-        for place in range(count):
-            at = now + place * width_us
-            pace = DRAIN_SHARE * intake.new_per_s(at, node) * width_us / SECOND
-            most = intake.max_held(at, node) * full.get(node.node, 1.0) - held.get(node.node, 0)
-            part = max(0.0, min(pace, most - taken))
+        for slot in range(count):
+            at = now + slot * width_us
+            per_slot = DRAIN_SHARE * intake.new_per_s(at, node) * width_us / SECOND
+            room = intake.max_held(at, node) * full.get(node.node, 1.0) - held.get(node.node, 0)
+            part = max(0.0, min(per_slot, room - taken))
             taken += part
-            rooms[place] += part
-            if node.warmth(at, intake.bounds) >= 1 and part >= pace and most - taken > pace * (count - place):
-                for later in range(
-                    place + 1, count
-                ):  # warm, and more room than its pace can fill: the same to the end
-                    rooms[later] += pace
+            rooms[slot] += part
+            if (
+                node.warmth(at, intake.bounds) >= 1
+                and part >= per_slot
+                and room - taken > per_slot * (count - slot)
+            ):
+                # The node is warm and its rate cannot fill the room: all later slots are the same.
+                for later in range(slot + 1, count):
+                    rooms[later] += per_slot
                 break
     return rooms
 
 
 def spread_evenly(
-    amount: float, rooms: list[float], going: list[float], until: int
+    amount: float, rooms: list[float], planned: list[float], until: int
 ) -> tuple[list[float], float]:
-    """Spreads an amount over the first slots so that the sum with what goes already is as even as rooms
-    allow.
+    """Spreads an amount over the first `until` slots.
 
-    What each slot gets, and what does not fit. The level is found by halving, to a thousandth of a
-    connection.
+    Together with what is already planned (`planned`), the slots become as even as their room allows. Returns
+    the part of each slot, and the amount that does not fit. The level is found by bisection, to a thousandth
+    of a connection.
     """
     until = max(1, min(until, len(rooms)))
-    pairs = list(zip(rooms[:until], going[:until], strict=True))
+    pairs = list(zip(rooms[:until], planned[:until], strict=True))
     if amount >= sum(rooms[:until]):
         return rooms[:until], amount - sum(rooms[:until])
     low, high = 0.0, max(base + room for room, base in pairs)
@@ -107,42 +113,45 @@
 
 
 def safety_margin_us(now: int, deadline_us: int) -> int:
-    """Left empty at the end: a move that begins last, or has to be tried again, is still done in time."""
+    """Time left unplanned before a deadline, so that late and repeated moves still finish in time."""
     return min(2 * SECOND, (deadline_us - now) // 8)
 
 
-def curves(now: int, leaving: Sequence[DrainingNode], rooms: list[float], width_us: int) -> DrainForecast:
-    """A curve for each deadline, the earliest first; `rooms` is used up on the way."""
-    outlook = DrainForecast(connections=sum(sum(node.held.values()) for node in leaving))
-    outlook.intake_per_s = max(rooms, default=0.0) * SECOND / width_us
-    going = [0.0] * len(rooms)
-    for deadline in sorted({node.deadline_us for node in leaving}):
-        amount = float(sum(sum(node.held.values()) for node in leaving if node.deadline_us == deadline))
+def curves(now: int, draining: Sequence[DrainingNode], rooms: list[float], width_us: int) -> DrainForecast:
+    """A curve for each deadline, the earliest first. Subtracts the planned connections from `rooms`."""
+    forecast = DrainForecast(connections=sum(sum(node.held.values()) for node in draining))
+    forecast.intake_per_s = max(rooms, default=0.0) * SECOND / width_us
+    planned = [0.0] * len(rooms)
+    for deadline in sorted({node.deadline_us for node in draining}):
+        amount = float(sum(sum(node.held.values()) for node in draining if node.deadline_us == deadline))
         until = max(1, min(len(rooms), (deadline - safety_margin_us(now, deadline) - now) // width_us))
-        parts, unfitting = spread_evenly(amount, rooms, going, until)
-        for place, part in enumerate(parts):
-            rooms[place] -= part
-        if unfitting:
-            parts = [part + unfitting / until for part in parts]
-        points, gone = [(now, 1.0)], 0.0
-        for place, part in enumerate(parts):
-            gone += part
-            going[place] += part
-            share = max(0.0, 1 - gone / amount) if amount and place + 1 < until else 0.0
-            points.append((now + (place + 1) * width_us, share))
-        outlook.overflow += round(unfitting)
-        outlook.curves[deadline] = Curve(simplified(points), deadline)
-    outlook.peak_per_s = max(going, default=0.0) * SECOND / width_us
-    return outlook
+        parts, overflow = spread_evenly(amount, rooms, planned, until)
+        for slot, part in enumerate(parts):
+            rooms[slot] -= part
+        if overflow:
+            parts = [part + overflow / until for part in parts]
+        points, closed = [(now, 1.0)], 0.0
+        for slot, part in enumerate(parts):
+            closed += part
+            planned[slot] += part
+            share = max(0.0, 1 - closed / amount) if amount and slot + 1 < until else 0.0
+            points.append((now + (slot + 1) * width_us, share))
+        forecast.overflow += round(overflow)
+        forecast.curves[deadline] = Curve(simplified(points), deadline)
+    forecast.peak_per_s = max(planned, default=0.0) * SECOND / width_us
+    return forecast
 
 
 def rounding_offset(gate: str, node: NodeId) -> float:
-    """From 0 up to 1, another for each pair: whose last one goes early in its interval and whose late."""
+    """A rounding offset from 0 up to 1 for a pair of gate and node, by hash.
+
+    It spreads the pairs over an interval: some close their last connection early in it, some late.
+    """
     return (xxhash.xxh32_intdigest(f"{gate} {node}".encode()) >> 8) / (1 << 24)
 
 
 def simplified(points: list[tuple[int, float]]) -> tuple[tuple[int, float], ...]:
-    """Without the points that lie on the line between the last one kept and the next one."""
+    """Leaves out points that lie on the line between the last point kept and the next point."""
     kept = [points[0]]
     for point, after in pairwise(points[1:]):
         slope = (after[1] - kept[-1][1]) / (after[0] - kept[-1][0])
@@ -153,23 +162,23 @@
 
 def plan(
     now: int,
-    leaving: Sequence[DrainingNode],
+    draining: Sequence[DrainingNode],
     nodes: Sequence[NodeView],
     held: Mapping[NodeId, int],
     intake: Intake,
     full: Mapping[NodeId, float],
 ) -> tuple[dict[str, dict[NodeId, Ceiling]], DrainForecast]:
-    """Ceilings by gate and node, and what to expect."""
-    if not leaving:
+    """The ceilings by gate and node, and the forecast."""
+    if not draining:
         return {}, DrainForecast()
-    count, width_us = time_slots(now, max(node.deadline_us for node in leaving))
+    count, width_us = time_slots(now, max(node.deadline_us for node in draining))
     rooms = room_by_slot(now, width_us, count, nodes, held, intake, full)
-    outlook = curves(now, leaving, rooms, width_us)
+    forecast = curves(now, draining, rooms, width_us)
     ceilings: dict[str, dict[NodeId, Ceiling]] = {}
-    for node in leaving:
-        curve = outlook.curves[node.deadline_us]
-        for gate, standing in node.held.items():
+    for node in draining:
+        curve = forecast.curves[node.deadline_us]
+        for gate, connections in node.held.items():
             ceilings.setdefault(gate, {})[node.node] = Ceiling(
-                curve, standing, rounding_offset(gate, node.node)
+                curve, connections, rounding_offset(gate, node.node)
             )
-    return ceilings, outlook
+    return ceilings, forecast
--- a/lapispass/core/ownership.py
+++ b/lapispass/core/ownership.py
@@ -1,9 +1,10 @@
-"""Which controller should hold which slice: weighted rendezvous hashing, with few moves when one joins or
-leaves.
+"""Which controller should hold which slice, by weighted rendezvous hashing.
+
+Few slices change their controller when a controller joins or leaves.
 
 Source: Thaler and Ravishankar, *A Name-Based Mapping Scheme for Rendezvous* (1996), with weights by
-logarithm (Schindelhauer and Schomaker, 2005). Every controller works it out by itself from the same list,
-so nothing has to be agreed beyond the list.
+logarithm (Schindelhauer and Schomaker, 2005). Every controller computes the result by itself from the same
+list of members, so the controllers need to agree on nothing but the list.
 """
 
 from __future__ import annotations
@@ -17,12 +18,15 @@
 
 @lru_cache(maxsize=1 << 18)
 def rendezvous_hash(name: str, number: int) -> float:
-    """Above 0 and below 1, the same everywhere, for a member and a slice."""
+    """A number above 0 and below 1 for a member and a slice; the same in every process."""
     return (xxhash.xxh64_intdigest(f"{name} {number}".encode()) + 1) / ((1 << 64) + 2)
 
 
 def preferred_owner(number: int, members: Mapping[str, float]) -> str | None:
-    """Who should hold a slice; ties go by name. A member of weight 0 takes nothing: it is on its way out."""
+    """The member that should hold a slice; ties are broken by name.
+
+    A member of weight 0 gets no slices, because it is leaving.
+    """
     best, best_score = None, 0.0
     for name in sorted(members):
         if members[name] > 0:
@@ -33,6 +37,6 @@
 
 
 def preferred_owners(slices: int, members: Mapping[str, float]) -> dict[int, str]:
-    """For all slices; empty without members."""
+    """The preferred owner of each slice; empty without members."""
     found = {number: preferred_owner(number, members) for number in range(slices)}
     return {number: name for number, name in found.items() if name is not None}
--- a/lapispass/core/plans.py
+++ b/lapispass/core/plans.py
@@ -1,8 +1,8 @@
-"""A plan for a gate, as values: ceilings that sink, allotments, and the pace of returns.
+"""The plan that a controller sends to a gate: falling ceilings, allotments and the rate of returning clients.
 
-A plan says how much may *stand* at a time, never "close so many now". So it may come late, twice or out of
-order: what stands is compared with the ceiling, and a plan that is not newer than the one in force changes
-nothing.
+A plan states how many connections may be *held* at a given time, never how many to close now. It may
+therefore arrive late, twice or out of order. A gate compares the connections that it holds with the ceiling,
+and a plan that is not newer than the one in force changes nothing.
 """
 
 from __future__ import annotations
@@ -17,7 +17,10 @@
 
 
 class Version(NamedTuple):
-    """The life of the controller that made a plan, and the plan's number in it; later lives are greater."""
+    """The incarnation of the controller that made a plan, and the number of the plan within it.
+
+    A later incarnation is a greater number.
+    """
 
     incarnation: int
     number: int
@@ -27,38 +30,37 @@
 
 
 class Curve(NamedTuple):
-    """How those that leave by one deadline sink: the share that may still stand, straight lines between
-    points.
+    """The falling share of connections that may still be held until one deadline, linear between points.
 
-    Before the first point the first share holds, from the deadline on nothing. Times are those of whoever
-    holds it.
+    Before the first point the share is that of the first point; from the deadline on it is 0. Times are on
+    the clock of the process that holds the curve.
     """
 
-    points: tuple[tuple[int, float], ...]  # (time in us, share), times in order, shares from 1 down to 0
+    points: tuple[tuple[int, float], ...]  # (time in us, share): times ascend, shares fall from 1 to 0
     deadline_us: int
 
     def at(self, now: int) -> float:
         if now >= self.deadline_us or not self.points:
             return 0.0
-        place = bisect_right(self.points, (now, 2.0))
-        if place == 0:
+        index = bisect_right(self.points, (now, 2.0))
+        if index == 0:
             return self.points[0][1]
-        begin, high = self.points[place - 1]
-        if place == len(self.points):
+        begin, high = self.points[index - 1]
+        if index == len(self.points):
             return high
-        end, low = self.points[place]
+        end, low = self.points[index]
         return low + (high - low) * (end - now) / (end - begin)
 
 
 class Ceiling(NamedTuple):
-    """How many connections a gate may still hold at a node that leaves.
+    """How many connections a gate may still hold at a draining node.
 
-    Rounded by the pair's own offset, from 0 up to 1, and not up: where many gates hold one connection each,
-    rounding up would keep all of them to the last moment.
+    The number is rounded with an offset between 0 and 1 that differs for each pair of gate and node. With
+    plain rounding up, many gates with one connection each would all keep it until the last moment.
     """
 
     curve: Curve
-    held: int  # when the curve began
+    held: int  # connections at the start of the curve
     offset: float
 
     @property
@@ -75,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """All that a controller asks of one gate about held connections."""
+    """Everything that a controller asks of one gate about held connections."""
 
     version: Version
     ceilings: Mapping[NodeId, Ceiling] = field(default_factory=dict)
@@ -83,4 +85,6 @@
     returns_per_s: float = 10.0
     come_back_least_us: int = 500_000
     come_back_most_us: int = 120_000_000
-    dead: frozenset[NodeId] = frozenset()  # called gone: what is held there must show a sign of life
+    dead: frozenset[NodeId] = (
+        frozenset()
+    )  # reported as gone: connections there must prove that they are alive
--- a/lapispass/core/release_policy.py
+++ b/lapispass/core/release_policy.py
@@ -1,4 +1,7 @@
-"""Which connections go now, where a node leaves: as many as the ceiling asks, the least disturbing first."""
+"""Which connections a gate releases now at a draining node: as many as the ceiling demands.
+
+Those whose release causes the least disruption go first.
+"""
 
 from __future__ import annotations
 
@@ -10,42 +13,42 @@
 from lapispass.core.plans import Ceiling
 from lapispass.core.shared_types import SECOND
 
-CATCH_UP_US = 2 * SECOND  # a plan that comes late is caught up within this, where the deadline leaves it
+CATCH_UP_US = 2 * SECOND  # time to catch up with a plan that arrived late, if the deadline allows it
 
 
 class Release(NamedTuple):
-    """Let a connection go: 'move' it to another node, or 'close' it in order."""
+    """The release of a connection: 'move' it to another node, or 'close' it with a close handshake."""
 
     number: int
     how: str
 
 
-def count_due(ceiling: Ceiling, now: int, tick_us: int, standing: int, going: int) -> int:
-    """How many of those that stand must begin to go now, `going` being on their way already.
+def count_due(ceiling: Ceiling, now: int, tick_us: int, held: int, releasing: int) -> int:
+    """How many of the connections held must be released now; `releasing` are already under way.
 
-    Guards against a burst where the plan came late or the process stood still: what is behind is spread
-    over the catch-up time, or over half of what is left until the deadline where that is less. From the
-    deadline on, all.
+    When the plan came late or the process was stalled, many connections are above the ceiling. To avoid a
+    burst, these are spread over the catch-up time, or over half of the time to the deadline if that is less.
+    From the deadline on, all connections are due.
     """
-    left = standing - going
-    if left <= 0:
+    remaining = held - releasing
+    if remaining <= 0:
         return 0
     if now >= ceiling.deadline_us:
-        return left
-    behind = left - ceiling.at(now)
-    if behind <= 0:
+        return remaining
+    excess = remaining - ceiling.at(now)
+    if excess <= 0:
         return 0
-    within = min(CATCH_UP_US, (ceiling.deadline_us - now) // 2)
-    sinking = ceiling.at(now - tick_us) - ceiling.at(now)
-    return min(left, max(1, sinking, -(-behind * tick_us // max(tick_us, within))))
+    catch_up_us = min(CATCH_UP_US, (ceiling.deadline_us - now) // 2)
+    falling = ceiling.at(now - tick_us) - ceiling.at(now)
+    return min(remaining, max(1, falling, -(-excess * tick_us // max(tick_us, catch_up_us))))
 
 
 def disruption(held: HeldConnection, now: int) -> tuple[int, int, float]:
-    """How much it disturbs to let a connection go; least first.
+    """A sort key for the disruption that the release of a connection causes, the least first.
 
-    First those that are cut off as it is (a message waits that may not be written here any more), then
-    those that can be moved without their screen's notice, then by how long nothing has passed. In the
-    middle of a message last.
+    First come connections that are blocked anyway, because a message waits that may not be written here any
+    more. Then come those that can be moved without the client noticing. Within a rank, the longest idle
+    connection comes first. Connections in the middle of a message come last.
     """
     if held.in_message:
         rank = 3
@@ -58,13 +61,14 @@
     return rank, int(held.kind.value * 1000) if rank == 2 else 0, -(now - held.last_message_us) / SECOND
 
 
-def choose(standing: Iterable[HeldConnection], count: int, now: int, last: bool) -> list[Release]:
-    """The `count` least disturbing, and how each goes; `last` when no time is left to move any.
+def choose(held_connections: Iterable[HeldConnection], count: int, now: int, last: bool) -> list[Release]:
+    """Selects `count` connections with the least disruption, and how each is released.
 
-    One that is in the middle of a message waits for its end, unless it is the last moment.
+    `last` says that no time is left to move any. A connection in the middle of a message waits for the end of
+    the message, unless `last` is set.
     """
-    free = (held for held in standing if not held.releasing and (last or not held.in_message))
-    chosen = heapq.nsmallest(count, free, key=lambda held: (*disruption(held, now), held.number))
+    candidates = (held for held in held_connections if not held.releasing and (last or not held.in_message))
+    chosen = heapq.nsmallest(count, candidates, key=lambda held: (*disruption(held, now), held.number))
     return [
         Release(held.number, "close" if last or not held.kind.movable or held.failed_moves > 1 else "move")
         for held in chosen
--- a/lapispass/core/shared_types.py
+++ b/lapispass/core/shared_types.py
@@ -1,4 +1,7 @@
-"""Small values that the decisions about held connections share. Times are whole microseconds."""
+"""Constants and small types shared by the modules that decide about held connections.
+
+Times are whole microseconds.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +15,21 @@
 
 
 class ConnectionClass(NamedTuple):
-    """One kind of held connection, as the operator lists it."""
+    """One class of held connections, as listed in the operator file."""
 
     name: str
     path_prefix: str
-    writes: bool  # a message from the screen may write to its key block
-    movable: bool  # another node can take it up from the handshake alone
+    writes: bool  # a message from the client may write to the data of its key
+    movable: bool  # another node can take the connection over with nothing but its handshake
     value: float
-    start_cost: float  # visits a second, until what one costs has been learned
+    start_cost: float  # estimated load of one connection in requests/s, until the real cost is learned
 
 
 class Bounds(NamedTuple):
-    """What one node of weight 1 takes, all gates together; a cold one takes its share, rising evenly."""
+    """Capacity of one node of weight 1, for all gates together.
+
+    A cold node has `cold_share` of it at its start. The share rises linearly to 1 over `cold_us`.
+    """
 
     connections: int = 10_000
     new_per_s: float = 200.0
@@ -33,10 +39,10 @@
 
 
 class DrainTerms(NamedTuple):
-    """How long a drain may take, and when those it closes are asked to come back."""
+    """How long a drain may take, and when the clients that it disconnects are asked to come back."""
 
     grace_us: int = 60 * SECOND
-    margin_us: int = 3 * SECOND  # kept for the close handshakes
+    margin_us: int = 3 * SECOND  # part of the grace that is reserved for the close handshakes
     come_back_least_us: int = SECOND // 2
     come_back_most_us: int = 120 * SECOND
 
@@ -47,18 +53,18 @@
 
 @dataclass(slots=True)
 class NodeView:
-    """A node as the deciding module sees it."""
+    """A node as the controller module sees it."""
 
     node: NodeId
     zone: str
-    state: str  # ready, unproven, ill, out (drains), gone or past, as `Backend.state` says
+    state: str  # ready, unproven, ill, out (draining), gone or past; see `Backend.state`
     weight: float = 1.0
-    started_us: int = 0  # its last start; 0 for long ago
-    utilization: float = 0.0  # share of its work in use, 0 where unknown
-    requests_per_s: float = 0.0  # visits completed a second
+    started_us: int = 0  # time of its last start; 0 if long ago
+    utilization: float = 0.0  # share of its capacity in use; 0 if unknown
+    requests_per_s: float = 0.0  # completed requests
 
     def warmth(self, now: int, bounds: Bounds) -> float:
-        """The least share of its work it can do."""
+        """The share of its full capacity that the node has at least; 1 when it is warm."""
         if not self.started_us:
             return 1.0
         age = max(0, now - self.started_us) / max(1, bounds.cold_us)
--- a/lapispass/core/steering.py
+++ b/lapispass/core/steering.py
@@ -1,9 +1,11 @@
-"""A gate's decisions: where a connection goes, who may write, who leaves when. Pure: told the time, all
-else kept here.
+"""A gate's decisions: which node serves a connection, which connections may write, and when they leave.
 
-The life of a connection: `arrive` (a node, or a refusal with when to come back), `stand` once both ends are
-up, `may_write` before each message, `touch` after it, `gone` at its end. Orders come by `apply` and
-`follow`; `tick` says what is to go now.
+The module does no I/O: callers pass the time, and all other state is kept here.
+
+The calls for one connection are `admit` (a node, or a refusal that says when to come back), `established`
+once both ends are connected, `may_write` before each message, `message_written` after it, and `closed` at its
+end. Orders of the controller arrive by `apply_changes` and `apply_plan`; `tick` says which connections to
+release now.
 """
 
 from __future__ import annotations
@@ -20,19 +22,19 @@
 from lapispass.core.shared_types import NEVER, ConnectionClass, NodeId
 from lapispass.core.write_barriers import WriteBarriers, WriteLease
 
-MAX_DRAWS = 12  # before all nodes are looked at
-MISPLACED_PER_TICK = 500  # looked at in one tick
-MAX_NODE_TRIES = 2  # nodes that one arrival may be offered; only where no key binds it
+MAX_DRAWS = 12  # random draws before all nodes are considered
+MISPLACED_PER_TICK = 500  # misplaced connections that one tick examines
+MAX_NODE_TRIES = 2  # nodes that a new connection without a key may be offered
 
 
 class Unsupported(NamedTuple):
-    """It can't be held as it was asked for, now or later."""
+    """The connection cannot be held as requested, now or later."""
 
     why: str
 
 
 class Admitted(NamedTuple):
-    """Open it at this node."""
+    """The connection is admitted and is to be opened at this node."""
 
     node: NodeId
     slice: int | None
@@ -40,15 +42,16 @@
 
 @dataclass
 class Effects:
-    """What a change asks of the front: connections to stop and prove, and marks that can be answered."""
+    """What the gate has to do after table changes."""
 
-    stopped: list[int] = field(default_factory=list)  # may write no more where they are
-    to_recheck: list[int] = field(default_factory=list)  # their slice has an owner again: worth another look
-    acknowledged: list[int] = field(default_factory=list)
+    # Connections that may not write any more, and whose node has to confirm what it has read.
+    stopped: list[int] = field(default_factory=list)
+    to_recheck: list[int] = field(default_factory=list)  # connections whose slice has an owner now
+    acknowledged: list[int] = field(default_factory=list)  # barriers
 
 
 class Steering:
-    """One gate."""
+    """The decisions of one gate about its held connections."""
 
     def __init__(
         self,
@@ -69,15 +72,14 @@
         self.admission = Admission(connections, new_per_s, burst, self.returns)
         self.lease: WriteLease | None = WriteLease(lease_us, early_us) if lease_us else None
         self.plan = Plan(NO_VERSION)
-        self.opening: dict[NodeId, int] = {}  # admitted, not standing yet
-        self.releasing: dict[NodeId, int] = {}  # told to go, still standing
-        self.misplaced: dict[
-            int, None
-        ] = {}  # bound to a slice that someone else owns now, in the order they strayed
+        self.opening: dict[NodeId, int] = {}  # admitted, but not established yet
+        self.releasing: dict[NodeId, int] = {}  # being released, but still held
+        # Connections that are bound to a slice with another owner now, in the order in which that happened.
+        self.misplaced: dict[int, None] = {}
         self.last_number = 0
-        self.writable = True  # as the lease was last seen
+        self.writable = True  # what the lease allowed when it was last checked
 
-    # arrivals
+    # new connections
 
     def class_of(self, path: str) -> ConnectionClass | None:
         """The first class in the operator's order whose prefix the path has."""
@@ -87,9 +89,11 @@
         return self.connections.count(node) + self.opening.get(node, 0)
 
     def admit(self, now: int, kind: ConnectionClass, key: str | None) -> Admitted | Refused | Unsupported:
-        """Where a new connection goes. A node that is named has one place taken for it until `stand` or
-        `fail`."""
-        if kind.writes and key is None:  # Guards rule 2: whose writes these are could not be told.
+        """Chooses the node of a new connection.
+
+        The node counts the connection from now until `established` or `admission_failed`.
+        """
+        if kind.writes and key is None:  # Rule 2: without a key the owner of the writes is unknown.
             return Unsupported("a class that writes needs a key")
         self.connections.arrived += 1
         if refused := self.admission.gate_full(now, len(self.connections) + sum(self.opening.values())):
@@ -105,16 +109,15 @@
         return self.choose_node(now, ())
 
     def choose_node(self, now: int, tried: Collection[NodeId]) -> Admitted | Refused:
-        """A node for a connection that no key binds: of two drawn by the slices they own, the one with more
-        room.
+        """A node for a connection without a key: of two candidates, the one with more room.
 
-        Which nodes serve, and in what proportion, is the table's word; here only what the allotments leave
-        is weighed.
+        Candidates are drawn with a probability in proportion to the slices that they own. So the tables
+        decide which nodes serve, and in what proportion; this choice only weighs the room in their
+        allotments.
         """
-        found: list[NodeId] = []
-        for _ in range(
-            MAX_DRAWS
-        ):  # a slice at random is an owner by its share; the whole table is rarely needed
+        candidates: list[NodeId] = []
+        # The owner of a random slice is drawn by its share of slices; the whole table is rarely needed.
+        for _ in range(MAX_DRAWS):
             owner = self.tables.owner(int(self.returns.draw() * self.tables.slices))
             if (
                 owner is None
@@ -124,12 +127,12 @@
             ):
                 continue
             if not self.admission.wait_us(now, owner, self.held_at(owner)):
-                found.append(owner)
-                if len(found) == 2:
+                candidates.append(owner)
+                if len(candidates) == 2:
                     break
-        if found:
+        if candidates:
             return self._admit_at(
-                now, max(found, key=lambda node: self.admission.room(node, self.held_at(node))), None
+                now, max(candidates, key=lambda node: self.admission.room(node, self.held_at(node))), None
             )
         serving = {
             node: count
@@ -159,7 +162,7 @@
         return Admitted(node, number)
 
     def admission_failed(self, node: NodeId) -> None:
-        """An admitted one has not come to stand."""
+        """An admitted connection was not established."""
         self._add(self.opening, node, -1)
         self.admission.give_back(node)
 
@@ -169,18 +172,20 @@
         if counts[node] <= 0:
             del counts[node]
 
-    # what stands
+    # held connections
 
-    def established(self, now: int, kind: ConnectionClass, go: Admitted, key: str | None) -> HeldConnection:
-        """Both ends are up."""
-        self._add(self.opening, go.node, -1)
+    def established(
+        self, now: int, kind: ConnectionClass, admitted: Admitted, key: str | None
+    ) -> HeldConnection:
+        """Both ends of an admitted connection are connected."""
+        self._add(self.opening, admitted.node, -1)
         self.last_number += 1
-        held = HeldConnection(self.last_number, kind, go.slice, go.node, now, now, key or "")
+        held = HeldConnection(self.last_number, kind, admitted.slice, admitted.node, now, now, key or "")
         self.connections.add(held)
         return held
 
     def closed(self, held: HeldConnection) -> list[int]:
-        """It has ended, and nothing of it is on its way any more; marks that waited for it alone."""
+        """The connection has ended, and nothing of it is under way. Returns barriers to acknowledge."""
         if held.releasing:
             self.cancel_release(held)
         self.connections.remove(held)
@@ -189,7 +194,7 @@
         return self.barriers.take_completed()
 
     def may_write(self, now: int, held: HeldConnection) -> bool:
-        """Whether a message of the screen may begin on its way to the node. Asked right before the write."""
+        """Whether a message of the client may be sent to the node. To be called right before the write."""
         if not held.kind.writes:
             return True
         if self.lease is not None and not self.lease.allows_writes(now):
@@ -202,27 +207,27 @@
         held.octets += octets
 
     def read_confirmed(self, held: HeldConnection, written: int) -> list[int]:
-        """Its node has read so many pieces, as many as there were when it was stopped; marks that can be
-        answered now.
+        """The node has read as many pieces as had been written when the connection was last stopped.
 
-        What was written since, under a later table that allowed it again, is not proven by this.
+        Pieces written since, under a later table that allowed writes again, are not confirmed by this.
+        Returns barriers to acknowledge.
         """
         held.read = max(held.read, written)
         self.barriers.confirm(held.number)
         return self.barriers.take_completed()
 
     def node_disconnected(self, held: HeldConnection) -> list[int]:
-        """The way to its node is cut, so that nothing unsent can reach it; marks that can be answered now.
+        """The connection to the node is cut, so nothing unsent can reach it. Returns barriers to acknowledge.
 
-        What the node had received by then lives no longer than a visit's write does, and the controller
-        waits for that behind the last answer.
+        What the node had received by then lives no longer than the write of a request, and the controller
+        waits for that time after the last acknowledgement.
         """
         held.read, held.in_message = held.written, False
         self.barriers.confirm(held.number)
         return self.barriers.take_completed()
 
     def is_misplaced(self, held: HeldConnection) -> bool:
-        """Whether its slice is someone else's now, or nobody's."""
+        """Whether the slice of a connection has another owner than its node, or none."""
         return held.slice is not None and self.tables.owner(held.slice) != held.node
 
     # moves
@@ -233,13 +238,13 @@
             self._add(self.releasing, held.node, 1)
 
     def cancel_release(self, held: HeldConnection) -> None:
-        """It was told to go and goes on where it is: a move came to nothing."""
+        """A connection is not being released any more, for example because its move failed."""
         if held.releasing:
             held.releasing = False
             self._add(self.releasing, held.node, -1)
 
     def move_target(self, now: int, held: HeldConnection) -> Admitted | Refused:
-        """Where one that is to move goes: its slice's owner, or any node with room."""
+        """The node that a connection moves to: the owner of its slice, or any node with room."""
         if held.slice is None:
             return self.choose_node(now, (held.node,))
         owner = self.tables.owner(held.slice)
@@ -247,11 +252,11 @@
             return self.admission.refuse(now, "slice has no other owner yet")
         return self._admit_at(now, owner, held.slice)
 
-    def moved(self, now: int, held: HeldConnection, go: Admitted) -> list[int]:
-        """It stands at its new node, and the old one has read all and closed."""
-        self._add(self.opening, go.node, -1)
+    def moved(self, now: int, held: HeldConnection, admitted: Admitted) -> list[int]:
+        """A connection is up at its new node, and the old one has read everything and closed."""
+        self._add(self.opening, admitted.node, -1)
         self.cancel_release(held)
-        self.connections.move(held, go.node)
+        self.connections.move(held, admitted.node)
         held.read = held.written
         self.misplaced.pop(held.number, None)
         self.barriers.confirm(held.number)
@@ -260,9 +265,11 @@
     # orders
 
     def apply_changes(self, changes: Iterable[tables.TableChange]) -> Effects:
-        """Table changes and marks, in order. A writer that a change concerns stops before any later mark is
-        counted."""
-        effects, freed = Effects(), set()
+        """Applies table changes and barriers in order.
+
+        A writing connection that a change affects is stopped before any later barrier is recorded.
+        """
+        effects, to_recheck = Effects(), set()
         for change in changes:
             if isinstance(change, tables.BarrierRequest):
                 self.barriers.request(change.barrier)
@@ -270,24 +277,24 @@
             for number in self.tables.apply(change):
                 owner = self.tables.owner(number)
                 for held in self.connections.of_slice(number):
-                    barred = held.kind.writes and not self.tables.may_write(number, held.node)
-                    if barred and (held.unconfirmed or held.in_message):
+                    stopped = held.kind.writes and not self.tables.may_write(number, held.node)
+                    if stopped and (held.unconfirmed or held.in_message):
                         self.barriers.await_confirmation(held.number)
                         effects.stopped.append(held.number)
                     if owner is not None:
-                        freed.add(held.number)
+                        to_recheck.add(held.number)
                     if owner != held.node:
                         self.misplaced[held.number] = None
-        effects.to_recheck = sorted(freed)
+        effects.to_recheck = sorted(to_recheck)
         effects.acknowledged = self.barriers.take_completed()
         return effects
 
     def expire_lease(self, now: int) -> list[int]:
-        """Writers to stop because the controller has not been heard for too long; each lapse is told once."""
+        """Connections whose writes stop because the lease has expired; each expiry is reported once."""
         if self.lease is None:
             return []
-        held_before, self.writable = self.writable, self.lease.allows_writes(now)
-        if self.writable or not held_before:
+        was_writable, self.writable = self.writable, self.lease.allows_writes(now)
+        if self.writable or not was_writable:
             return []
         stopped = [
             held for held in self.connections if held.kind.writes and (held.unconfirmed or held.in_message)
@@ -297,11 +304,11 @@
         return [held.number for held in stopped]
 
     def lease_end(self) -> int:
-        """When the controller counts on nothing being written here any more."""
+        """When the controller assumes that this gate writes nothing any more."""
         return self.lease.expires_at if self.lease is not None else NEVER
 
     def apply_plan(self, now: int, plan: Plan) -> bool:
-        """Takes a plan if it is newer than the one in force."""
+        """Adopts a plan if it is newer than the one in force, and returns whether it is."""
         if plan.version <= self.plan.version:
             return False
         self.plan = plan
@@ -310,26 +317,29 @@
         return True
 
     def tick(self, now: int, tick_us: int) -> list[release_policy.Release]:
-        """Who goes now: at nodes that leave as many as their ceiling asks; a bound one whose slice has
-        moved on."""
+        """The connections to release now.
+
+        These are as many at each draining node as its ceiling demands, and bound connections whose slice has
+        another owner.
+        """
         releases: list[release_policy.Release] = []
         for node, ceiling in self.plan.ceilings.items():
-            standing = self.connections.count(node)
-            count = release_policy.count_due(ceiling, now, tick_us, standing, self.releasing.get(node, 0))
+            held = self.connections.count(node)
+            count = release_policy.count_due(ceiling, now, tick_us, held, self.releasing.get(node, 0))
             if count:
                 last = now + 2 * tick_us >= ceiling.deadline_us
                 releases += release_policy.choose(self.connections.at_node(node), count, now, last)
         return releases + self.release_misplaced(now)
 
     def release_misplaced(self, now: int) -> list[release_policy.Release]:
-        """Bound connections whose slice has a new owner go after it, as fast as that one takes them.
+        """Moves bound connections to the new owner of their slice, as fast as that node takes them.
 
-        Where their node leaves anyway its ceiling says when; but one whose screen wants to write does not
-        wait for that, since it is cut off already. Looks at so many a tick that a large handover cannot
-        hold up the gate.
+        If their node is draining, its ceiling decides when they go. A connection whose client waits to
+        write does not wait for that, because it is blocked already. The number examined per tick is limited,
+        so that a large handover cannot stall the gate.
         """
         releases: list[release_policy.Release] = []
-        wanted: dict[NodeId, int] = {}
+        demand: dict[NodeId, int] = {}
         for number in list(self.misplaced)[:MISPLACED_PER_TICK]:
             held = self.connections.by_number.get(number)
             if held is None or held.slice is None or not self.is_misplaced(held):
@@ -344,13 +354,13 @@
             ):
                 continue
             movable = held.kind.movable and held.failed_moves <= 1
-            wanted[owner] = wanted.get(owner, 0) + 1
-            if self.admission.wait_us(now, owner, self.held_at(owner) + wanted[owner] - 1):
+            demand[owner] = demand.get(owner, 0) + 1
+            if self.admission.wait_us(now, owner, self.held_at(owner) + demand[owner] - 1):
                 continue
-            if not movable:  # its screen comes back soon: counted where it will come
+            if not movable:  # its client comes back soon: counted at the node where it will connect
                 self.admission.take(now, owner, self.held_at(owner))
             releases.append(release_policy.Release(number, "move" if movable else "close"))
-        for number in [release.number for release in releases]:  # the others have their turn first next time
+        for number in [release.number for release in releases]:  # the others are examined first next time
             self.misplaced[number] = self.misplaced.pop(number)
         return releases
 
@@ -358,5 +368,5 @@
         return self.plan.version
 
     def drains(self, now: int) -> dict[NodeId, int]:
-        """What is left of each drain's time: a controller that starts anew goes on with it."""
+        """The time left of each drain. A controller that has restarted continues the drains from it."""
         return {node: max(0, ceiling.deadline_us - now) for node, ceiling in self.plan.ceilings.items()}
--- a/lapispass/core/table_snapshot.py
+++ b/lapispass/core/table_snapshot.py
@@ -1,5 +1,7 @@
-"""The table as the controller has ordered it and the store holds it, for gates: events and orders in,
-changes out."""
+"""The tables as the controller has ordered them and the store holds them.
+
+Events and orders of a controller go in; the table changes for gates and xDS come out.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +13,13 @@
 
 
 class TableSnapshot:
-    """Follows one controller turn by turn."""
+    """The current tables of one controller, updated turn by turn."""
 
     def __init__(self, slices: int, classes: Sequence[interface.VisitClass], by_share: bool) -> None:
         self.tables = tables.Tables(slices)
-        self.writing_classes = [place for place, kind in enumerate(classes) if kind.writes]
+        self.writing_classes = [index for index, kind in enumerate(classes) if kind.writes]
         self.class_indices = range(len(classes))
-        self.by_share = by_share  # else levels are rates, which only shut or open
+        self.by_share = by_share  # otherwise admission levels are rates, which only close or open
         self.levels: dict[int, dict[int, float]] = {}
         self.own_slices: set[int] = set()
 
@@ -27,13 +29,14 @@
         orders: Iterable[interface.Order],
         addresses: Mapping[NodeId, tables.Address],
     ) -> tuple[list[tables.TableChange], int | None]:
-        """What a turn has changed, and its mark. Intermediate states of one turn are not told: a gate
-        applies it whole.
+        """Applies a turn. Returns the changes that result, and the number of the turn's barrier, if any.
 
-        The empty step is never such a state: it and the new owner are turns apart, with a mark each.
+        Intermediate states within a turn are left out, because a gate applies a turn as a whole. A handover
+        loses nothing by this: it clears a slice and sets the new owner in different turns, each with a
+        barrier of its own.
         """
         before = self.copy()
-        mark: int | None = None
+        barrier: int | None = None
         for event in events:
             match event:
                 case interface.Given(number, ours):
@@ -53,28 +56,31 @@
                     for number in self.own_slices if table is None else (table,):
                         self.admit(number, classes, share)
                 case interface.Mark(number):
-                    mark = number
+                    barrier = number
         self.tables.nodes = dict(addresses)
-        return list(self.tables.differences(before)), mark
+        return list(self.tables.differences(before)), barrier
 
     def clear(self, number: int) -> None:
-        """An empty table has no levels either."""
+        """Removes the owner of a slice. Its admission levels go with it."""
         self.tables.apply(tables.SetOwner(number, None))
         self.levels.pop(number, None)
 
     def admit(self, number: int, classes: int, share: float) -> None:
-        """A level of some classes. Held connections are let in by the mean; writes are shut where any write
-        is."""
+        """Sets the admission level of some classes, given as a bit set.
+
+        New held connections are admitted by the mean over all classes. Writes are shut if any class that
+        writes is at level 0.
+        """
         levels = self.levels.setdefault(number, {})
-        for place in self.class_indices:
-            if classes >> place & 1:
-                levels[place] = min(1.0, share) if self.by_share else float(share > 0)
-        each = [levels.get(place, 1.0) for place in self.class_indices] or [1.0]
-        shut = any(levels.get(place, 1.0) == 0 for place in self.writing_classes)
-        self.tables.apply(tables.SetShare(number, round(sum(each) / len(each), 3), shut))
+        for index in self.class_indices:
+            if classes >> index & 1:
+                levels[index] = min(1.0, share) if self.by_share else float(share > 0)
+        by_class = [levels.get(index, 1.0) for index in self.class_indices] or [1.0]
+        shut = any(levels.get(index, 1.0) == 0 for index in self.writing_classes)
+        self.tables.apply(tables.SetShare(number, round(sum(by_class) / len(by_class), 3), shut))
 
     def copy(self) -> tables.Tables:
-        """What stands, apart from later changes."""
+        """A copy of the current tables that later changes do not affect."""
         copied = tables.Tables(self.tables.slices)
         copied.owners = dict(self.tables.owners)
         copied.shares = dict(self.tables.shares)
--- a/lapispass/core/tables.py
+++ b/lapispass/core/tables.py
@@ -1,4 +1,7 @@
-"""A gate's tables: which node owns a slice, and who may write where. They change by orders alone."""
+"""A gate's tables: which node owns each slice, and which connections may write.
+
+Tables change only by the changes that are applied to them.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +15,21 @@
 
 
 class Address(NamedTuple):
-    """Where a node is reached, and its zone."""
+    """The network address of a node, and its zone."""
 
     address: str
     zone: str
 
 
 class SetOwner(NamedTuple):
-    """A slice's owner, or none: the empty step."""
+    """Sets the owner of a slice; `None` clears it, as a handover does before it names the new owner."""
 
     slice: int
     owner: NodeId | None
 
 
 class SetShare(NamedTuple):
-    """The share of new connections that a slice lets in; with writes shut nothing may be written."""
+    """Sets the share of new connections that a slice admits. While `shut`, it accepts no writes."""
 
     slice: int
     share: float
@@ -34,21 +37,21 @@
 
 
 class SetWithdrawn(NamedTuple):
-    """A node is shut out of all tables, or let in again."""
+    """Withdraws a node from all tables, or takes the withdrawal back."""
 
     node: NodeId
     withdrawn: bool
 
 
 class SetNode(NamedTuple):
-    """A node's address is known, or the node is forgotten."""
+    """Sets the address of a node; `None` removes the node."""
 
     node: NodeId
     address: Address | None
 
 
 class BarrierRequest(NamedTuple):
-    """A mark: answered when nothing held can still write by an older table."""
+    """A barrier: it is acknowledged once no held connection can still write under an older table."""
 
     barrier: int
 
@@ -57,7 +60,7 @@
 
 
 def slice_of(key: str, slices: int) -> int:
-    """The slice of a key: the same at every gate and in every version."""
+    """The slice of a key. The result is the same at every gate and in every version of the program."""
     return xxhash.xxh64_intdigest(key.encode("utf-8", "surrogateescape"), seed=0) % slices
 
 
@@ -71,7 +74,7 @@
 
 
 class Tables:
-    """What stands, as last told. A change says how something shall stand: twice is as good as once."""
+    """The current tables. Changes are idempotent: each one states a value, not a difference."""
 
     def __init__(self, slices: int) -> None:
         self.slices = slices
@@ -81,14 +84,14 @@
         self.nodes: dict[NodeId, Address] = {}
 
     def apply(self, change: TableChange) -> set[int]:
-        """Carries out a change; the slices whose writers it may concern."""
+        """Applies a change. Returns the slices whose writing connections may be affected."""
         match change:
             case SetOwner(number, owner):
                 if self.owners.get(number) == owner or not 0 <= number < self.slices:
                     return set()
                 if owner is None:
                     self.owners.pop(number, None)
-                    self.shares.pop(number, None)  # an empty table has no levels either
+                    self.shares.pop(number, None)  # a slice without an owner has no admission share either
                 else:
                     self.owners[number] = owner
                 return {number}
@@ -116,7 +119,7 @@
         return set()
 
     def owner(self, number: int) -> NodeId | None:
-        """Who serves a slice now; nobody while it is bare or its owner is shut out."""
+        """The node that serves a slice now; `None` if the slice has no owner or its owner is withdrawn."""
         owner = self.owners.get(number)
         return None if owner in self.withdrawn else owner
 
@@ -127,32 +130,33 @@
         return self.shares.get(number, DEFAULT_SHARE).share
 
     def serving(self) -> dict[NodeId, int]:
-        """How many slices each node that is reached and not shut out owns."""
+        """The number of slices of each owner that has an address and is not withdrawn."""
         counts: dict[NodeId, int] = {}
         for owner in self.owners.values():
             if owner not in self.withdrawn and owner in self.nodes:
                 counts[owner] = counts.get(owner, 0) + 1
         return counts
 
-    def differences(self, stands: Tables) -> Iterable[TableChange]:
-        """What has to change so that `stands` becomes this; in an order that is safe at every step.
+    def differences(self, current: Tables) -> Iterable[TableChange]:
+        """The changes that turn `current` into these tables, in an order that is safe at every step.
 
-        Nodes are known before lines name them; a slice that changes owner is emptied only by its own empty
-        step, which whoever orders the change has seen to, so here its line is set at once.
+        A node's address is set before a slice names the node as its owner. A slice whose owner changes gets
+        the new owner at once, without being cleared in between: whoever ordered the handover has already
+        cleared the slice in a step of its own.
         """
         for node, address in self.nodes.items():
-            if stands.nodes.get(node) != address:
+            if current.nodes.get(node) != address:
                 yield SetNode(node, address)
-        for node in sorted(self.withdrawn - stands.withdrawn):
+        for node in sorted(self.withdrawn - current.withdrawn):
             yield SetWithdrawn(node, True)
-        for number in sorted(self.owners.keys() | stands.owners.keys()):
-            if self.owners.get(number) != stands.owners.get(number):
+        for number in sorted(self.owners.keys() | current.owners.keys()):
+            if self.owners.get(number) != current.owners.get(number):
                 yield SetOwner(number, self.owners.get(number))
-        for number in sorted(self.shares.keys() | stands.shares.keys()):
-            mine = self.shares.get(number, DEFAULT_SHARE)
-            if mine != stands.shares.get(number, DEFAULT_SHARE):
-                yield SetShare(number, mine.share, mine.shut)
-        for node in sorted(stands.withdrawn - self.withdrawn):
+        for number in sorted(self.shares.keys() | current.shares.keys()):
+            wanted = self.shares.get(number, DEFAULT_SHARE)
+            if wanted != current.shares.get(number, DEFAULT_SHARE):
+                yield SetShare(number, wanted.share, wanted.shut)
+        for node in sorted(current.withdrawn - self.withdrawn):
             yield SetWithdrawn(node, False)
-        for node in sorted(stands.nodes.keys() - self.nodes.keys()):
+        for node in sorted(current.nodes.keys() - self.nodes.keys()):
             yield SetNode(node, None)
--- a/lapispass/core/write_barriers.py
+++ b/lapispass/core/write_barriers.py
@@ -1,11 +1,11 @@
-"""Rule 2 through held connections: when a gate may answer a mark.
-
-A held connection that can write is a way to the owner that its slice had when it was opened. The table is
-obeyed at once: from the change on nothing more is written by the older one. But what was written before may
-still be on its way. So a mark is answered only when each connection that the change concerned has been
-*proven*: its node has shown (by the answer to a ping sent behind the last message, RFC 6455 5.5.3, or by
-the close handshake) that it has read all that was written, or the way there was cut and the longest life of
-a write has passed since. `docs/design/gate.md` has the proof.
+"""Rule 2 for held connections: when a gate may acknowledge a barrier.
+
+A held connection that can write leads to the node that owned its slice when the connection was opened. A new
+table takes effect at once: from then on nothing more is written under the older table. But data written
+before may still be under way. A barrier is therefore acknowledged only when each connection affected by the
+change is *confirmed*: its node has shown that it has read everything written to it, by the pong to a ping
+sent after the last message (RFC 6455 5.5.3) or by the close handshake; or the connection to the node was cut
+and the longest lifetime of a write has passed since. `docs/design/gate.md` has the proof.
 """
 
 from __future__ import annotations
@@ -14,47 +14,48 @@
 
 
 class WriteBarriers:
-    """Marks in the order they came, and the connections each still waits for."""
+    """Barriers in the order of their arrival, and the connections that each still waits for."""
 
     def __init__(self) -> None:
-        self.unconfirmed: set[int] = set()  # stopped by a change, not yet shown to be read
-        self.pending: deque[tuple[int, set[int]]] = (
-            deque()
-        )  # bounded by the controller: one mark a turn, in order
+        self.unconfirmed: set[int] = set()  # stopped by a table change; not known to be read yet
+        # Bounded by the controller, which sends one barrier per turn, in order.
+        self.pending: deque[tuple[int, set[int]]] = deque()
 
     def await_confirmation(self, number: int) -> None:
-        """A connection may no longer write, and has written what is not proven yet."""
+        """A connection may no longer write, and what it has written is not confirmed yet."""
         self.unconfirmed.add(number)
 
     def confirm(self, number: int) -> None:
-        """Its node has read all, or the way there is cut for long enough."""
+        """The node of a connection has read everything, or the connection to it was cut long enough ago."""
         self.unconfirmed.discard(number)
-        for _, waits in self.pending:
-            waits.discard(number)
+        for _, waiting_for in self.pending:
+            waiting_for.discard(number)
 
-    def request(self, mark: int) -> None:
-        """A mark has come, behind the changes it follows. One asked again is answered again."""
-        self.pending.append((mark, set(self.unconfirmed)))
+    def request(self, barrier: int) -> None:
+        """A barrier has arrived, after the changes that it follows. A repeated one is acknowledged again."""
+        self.pending.append((barrier, set(self.unconfirmed)))
 
     def take_completed(self) -> list[int]:
-        """The marks that can be answered now, in order; each is handed out once."""
+        """Removes and returns the barriers that can be acknowledged now, in order."""
         ready = []
         while self.pending and not self.pending[0][1]:
             ready.append(self.pending.popleft()[0])
         return ready
 
     def reset(self) -> None:
-        """The stream to the controller began anew: marks of the old one are nobody's. Proofs are still
-        owed."""
+        """The stream to the controller is a new one, and nobody waits for barriers of the old one any more.
+
+        Connections that are unconfirmed remain so.
+        """
         self.pending.clear()
 
 
 class WriteLease:
-    """How long a gate may let writes through without word from its controller.
+    """How long a gate may pass writes on without hearing from its controller.
 
-    The controller counts from when it missed the gate; the gate from when it *sent* the last beat that was
-    answered, which is never later. Writes stop `early_us` before the end, so that what is on its way can be
-    proven by then.
+    The controller counts from the moment when it lost the gate. The gate counts from the moment when it
+    *sent* the last heartbeat that was answered, which is never later. Writes stop `early_us` before the lease
+    ends, so that writes under way can be confirmed by then.
     """
 
     def __init__(self, length_us: int, early_us: int) -> None:
@@ -63,13 +64,15 @@
 
     @property
     def early_us(self) -> int:
-        """Half of a short lease at most: one that a controller shortens later must not stop writes for
-        good."""
+        """How long before its end the lease stops writes; at most half of the lease.
+
+        The limit matters where a controller shortens the lease later: writes must not stop for good.
+        """
         return min(self.max_early_us, self.length_us // 2)
 
     def renew(self, sent_us: int) -> None:
         self.expires_at = max(self.expires_at, sent_us + self.length_us)
 
     def allows_writes(self, now: int) -> bool:
-        """Whether writes may go out."""
+        """Whether writes may be sent to nodes now."""
         return now < self.expires_at - self.early_us
