--- a/tests/support_core.py
+++ b/tests/support_core.py
@@ -1,4 +1,4 @@
-"""A gate's steering and the controller's keeper of held connections, made small for tests."""
+"""Small instances of a gate's steering and of the connection controller, for tests."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 ROOMY = Allotment(1000, 1000.0, 1000)
 
 
-def ready(*names: str, **more: object) -> list[NodeView]:
+def ready_nodes(*names: str, **more: object) -> list[NodeView]:
     return [replace(NodeView(name, "east", "ready"), **more) for name in names]
 
 
 def steering(nodes: int = 2, slices: int = 8, **more: object) -> Steering:
-    told = dict(
+    arguments = dict(
         classes=(BOARD, TILL),
         slices=slices,
         connections=10_000,
@@ -33,40 +33,40 @@
         early_us=0,
         come_back_us=(SECOND // 2, 60 * SECOND),
     )
-    made = Steering(**{**told, **more})  # type: ignore[arg-type]
+    gate = Steering(**{**arguments, **more})  # type: ignore[arg-type]
     names = [f"n{number}" for number in range(nodes)]
-    made.apply_changes([SetNode(name, Address("127.0.0.1:1", "east")) for name in names])
-    made.apply_changes([SetOwner(number, names[number % nodes]) for number in range(slices)])
-    made.apply_plan(NOW, Plan(Version(0, 1), {}, dict.fromkeys(names, ROOMY)))
-    return made
+    gate.apply_changes([SetNode(name, Address("127.0.0.1:1", "east")) for name in names])
+    gate.apply_changes([SetOwner(number, names[number % nodes]) for number in range(slices)])
+    gate.apply_plan(NOW, Plan(Version(0, 1), {}, dict.fromkeys(names, ROOMY)))
+    return gate
 
 
 def key_of(number: int, slices: int = 8) -> str:
     return next(f"k{n}" for n in range(1000) if slice_of(f"k{n}", slices) == number)
 
 
-def falling(held: int, end_us: int, begin_us: int = NOW) -> Ceiling:
-    """Evenly down to nothing."""
+def falling_ceiling(held: int, end_us: int, begin_us: int = NOW) -> Ceiling:
+    """A ceiling that falls evenly to 0."""
     return Ceiling(Curve(((min(begin_us, end_us - 1), 1.0), (end_us, 0.0)), end_us), held, 0.5)
 
 
-def opened(made: Steering, kind: ConnectionClass, key: str | None, now: int = NOW):
-    go = made.admit(now, kind, key)
-    assert isinstance(go, Admitted), go
-    return made.established(now, kind, go, key)
+def open_connection(gate: Steering, kind: ConnectionClass, key: str | None, now: int = NOW):
+    admitted = gate.admit(now, kind, key)
+    assert isinstance(admitted, Admitted), admitted
+    return gate.established(now, kind, admitted, key)
 
 
-def keeper(now: int = NOW, **bounds: object) -> ConnectionController:
+def connection_controller(now: int = NOW, **bounds: object) -> ConnectionController:
     return ConnectionController(
         (BOARD, TILL), Bounds(**bounds), DrainTerms(20 * SECOND, 2 * SECOND, SECOND // 2, 60 * SECOND), now
     )
 
 
-def rows(**held: int) -> dict[str, dict[str, ReportedCounts]]:
+def report_rows(**held: int) -> dict[str, dict[str, ReportedCounts]]:
     return {node: {"board": ReportedCounts(count)} for node, count in held.items()}
 
 
-def joined(made: ConnectionController, gate: str, **held: int) -> None:
-    """A gate joins, and reports so many connections at each node."""
-    made.gate_joined(NOW, gate, "east", NO_VERSION, {})
-    made.report_received(NOW, gate, 1, rows(**held))
+def join_gate(controller: ConnectionController, gate: str, **held: int) -> None:
+    """A gate joins and reports these numbers of connections at its nodes."""
+    controller.gate_joined(NOW, gate, "east", NO_VERSION, {})
+    controller.report_received(NOW, gate, 1, report_rows(**held))
