--- a/lapispass/core/limits.py
+++ b/lapispass/core/limits.py
@@ -60,8 +60,8 @@
     and admission holds back those that return too early.
     """
 
-    def __init__(self, per_s: float, least_us: int, most_us: int, seed: int) -> None:
-        self.per_s, self.min_us, self.max_us = per_s, least_us, most_us
+    def __init__(self, per_s: float, min_us: int, max_us: int, seed: int) -> None:
+        self.per_s, self.min_us, self.max_us = per_s, min_us, max_us
         self.random_state, self.next_slot_us = seed, 0.0
 
     def draw(self) -> float:
@@ -69,8 +69,8 @@
         self.random_state = (self.random_state * 6364136223846793005 + 1442695040888963407) % (1 << 64)
         return (self.random_state >> 33) / (1 << 31)
 
-    def set(self, per_s: float, least_us: int, most_us: int) -> None:
-        self.per_s, self.min_us, self.max_us = per_s, least_us, most_us
+    def set(self, per_s: float, min_us: int, max_us: int) -> None:
+        self.per_s, self.min_us, self.max_us = per_s, min_us, max_us
 
     def delay_us(self, now: int) -> int:
         """Takes the next slot and returns the delay until it."""
--- a/lapispass/core/plans.py
+++ b/lapispass/core/plans.py
@@ -85,6 +85,5 @@
     returns_per_s: float = 10.0
     come_back_least_us: int = 500_000
     come_back_most_us: int = 120_000_000
-    dead: frozenset[NodeId] = (
-        frozenset()
-    )  # reported as gone: connections there must prove that they are alive
+    # Nodes that are reported as gone: connections there must prove that they are alive.
+    dead: frozenset[NodeId] = frozenset()
--- a/lapispass/core/release_policy.py
+++ b/lapispass/core/release_policy.py
@@ -47,8 +47,9 @@
     """A sort key for the disruption that the release of a connection causes, the least first.
 
     First come connections that are blocked anyway, because a message waits that may not be written here any
-    more. Then come those that can be moved without the client noticing. Within a rank, the longest idle
-    connection comes first. Connections in the middle of a message come last.
+    more. Then come those that can be moved without the client noticing, then those that can only be closed,
+    by the value of their class. Among equals, the connection that has been idle longest comes first.
+    Connections in the middle of a message come last.
     """
     if held.in_message:
         rank = 3
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -48,7 +48,7 @@
     assert [slice_of(key, 1000) for key in ("", "a", "trade-order", "böard")] == [921, 955, 701, 797]
 
 
-def test_a_mark_waits_for_the_writer_that_has_not_been_proven() -> None:
+def test_a_barrier_waits_for_the_writer_that_has_not_been_confirmed() -> None:
     gate = steering()
     till = open_connection(gate, TILL, key_of(0))
     gate.message_written(NOW, till, 10)
@@ -60,7 +60,7 @@
     assert not gate.may_write(NOW, till)  # it is connected to the former owner
 
 
-def test_a_writer_that_has_written_nothing_new_holds_up_no_mark() -> None:
+def test_a_writer_that_has_written_nothing_new_holds_up_no_barrier() -> None:
     gate = steering()
     till = open_connection(gate, TILL, key_of(0))
     gate.message_written(NOW, till, 10)
@@ -68,7 +68,7 @@
     assert gate.apply_changes([SetOwner(0, None), BarrierRequest(7)]).acknowledged == [7]
 
 
-def test_a_message_that_has_begun_holds_up_the_mark_to_its_end() -> None:
+def test_a_message_that_has_begun_holds_up_the_barrier_to_its_end() -> None:
     gate = steering()
     till = open_connection(gate, TILL, key_of(0))
     till.in_message = True
@@ -93,7 +93,7 @@
     assert gate.apply_changes([SetOwner(0, None), BarrierRequest(3)]).acknowledged == []
 
 
-def test_marks_are_answered_in_order_and_a_new_stream_forgets_them_but_not_what_is_owed() -> None:
+def test_barriers_are_acknowledged_in_order_and_a_new_stream_drops_them_but_not_what_is_unconfirmed() -> None:
     barriers = WriteBarriers()
     barriers.await_confirmation(1)
     barriers.request(1)
