--- a/lapispass/core/table_snapshot.py
+++ b/lapispass/core/table_snapshot.py
@@ -15,7 +15,7 @@
 class TableSnapshot:
     """The current tables of one controller, updated turn by turn."""
 
-    def __init__(self, slices: int, classes: Sequence[interface.VisitClass], by_share: bool) -> None:
+    def __init__(self, slices: int, classes: Sequence[interface.RequestClass], by_share: bool) -> None:
         self.tables = tables.Tables(slices)
         self.writing_classes = [index for index, kind in enumerate(classes) if kind.writes]
         self.class_indices = range(len(classes))
@@ -39,23 +39,23 @@
         barrier: int | None = None
         for event in events:
             match event:
-                case interface.Given(number, ours):
+                case interface.SliceGrant(number, ours):
                     (self.own_slices.add if ours else self.own_slices.discard)(number)
                     self.clear(number)
-                case interface.Held(number, backend) if number in self.own_slices:
+                case interface.StoredOwner(number, backend) if number in self.own_slices:
                     self.tables.apply(tables.SetOwner(number, str(backend)))
         for order in orders:
             match order:
-                case interface.Own(number, backend, _):
+                case interface.SetTableEntry(number, backend, _):
                     self.tables.apply(tables.SetOwner(number, str(backend)))
-                case interface.Empty(number):
+                case interface.ClearTable(number):
                     self.clear(number)
-                case interface.Withdraw(backend, out):
+                case interface.SetWithdrawn(backend, out):
                     self.tables.apply(tables.SetWithdrawn(str(backend), out))
-                case interface.Admit(table, classes, _, share):
+                case interface.SetAdmission(table, classes, _, share):
                     for number in self.own_slices if table is None else (table,):
                         self.admit(number, classes, share)
-                case interface.Mark(number):
+                case interface.Barrier(number):
                     barrier = number
         self.tables.nodes = dict(addresses)
         return list(self.tables.differences(before)), barrier
