--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core.facts import NEVER, SECOND
-from lapispass.core.limits import Rate, Returns
+from lapispass.core.limits import RateLimiter, ReturnSlots
+from lapispass.core.shared_types import NEVER, SECOND
 from lapispass.core.versions import KINDS, ResourceCache, Update, Watch
 
 READS = "reads"
@@ -289,8 +289,8 @@
     """
 
     def __init__(self, clients: int, per_s: float, burst: int, seed: int) -> None:
-        self.max_clients, self.rate = clients, Rate(per_s, burst)
-        self.returns = Returns(per_s, SECOND // 10, 30 * SECOND, seed)
+        self.max_clients, self.rate = clients, RateLimiter(per_s, burst)
+        self.returns = ReturnSlots(per_s, SECOND // 10, 30 * SECOND, seed)
 
     def delay_us(self, now: int, connected: int) -> int:
         """0 if another client may connect now; otherwise the time in us after which to try again."""
--- a/lapispass/core/resources.py
+++ b/lapispass/core/resources.py
@@ -78,15 +78,15 @@
 
 
 def update_assignments(
-    cache: ResourceCache, current: tables.Tables, changes: list[tables.Change], turn: int
+    cache: ResourceCache, current: tables.Tables, changes: list[tables.TableChange], turn: int
 ) -> int:
     """Publishes the assignments that a turn's changes affect; returns how many have new content."""
     numbers: set[int] = set()
     for change in changes:
         match change:
-            case tables.SetLine(number, _) | tables.SetShare(number, _, _):
+            case tables.SetOwner(number, _) | tables.SetShare(number, _, _):
                 numbers.add(number)
-            case tables.SetOut(node, _) | tables.SetNode(node, _):
+            case tables.SetWithdrawn(node, _) | tables.SetNode(node, _):
                 numbers |= {number for number, owner in current.owners.items() if owner == node}
             case _:
                 pass
@@ -103,7 +103,7 @@
     It has no endpoints while the slice has no owner, its owner is withdrawn or has no address, or its writes
     are blocked.
     """
-    share = current.shares.get(number, tables.OPEN)
+    share = current.shares.get(number, tables.DEFAULT_SHARE)
     owner = current.owner(number)
     address = current.nodes.get(owner) if owner is not None else None
     shut = writes and share.shut
--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from lapispass.core import ownership
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 
 
 class Record(NamedTuple):
@@ -99,7 +99,7 @@
         released = 0
         for number in range(self.slices):
             record = self.records.get(number, NEVER_WRITTEN)
-            wanted_owner = ownership.wanted(number, alive)
+            wanted_owner = ownership.preferred_owner(number, alive)
             is_own = record.holder == self.name
             if is_own and number not in self.acting:
                 self.acting.add(number)
--- a/lapispass/core/versions.py
+++ b/lapispass/core/versions.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from lapispass.core.facts import NEVER
+from lapispass.core.shared_types import NEVER
 
 # Additions are sent in this order of kinds, removals in the opposite order.
 KINDS = ("cds", "eds", "lds", "rds")
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -20,7 +20,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import TTL_FEATURE, Client, ClientLimits, ClientStep, ConnectLimiter, ProxyNumbers
-from lapispass.core.picture import Picture
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.core.versions import ResourceCache, Update
 from lapispass.net import log
 from lapispass.net.counters import Counters
@@ -69,7 +69,9 @@
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
         self.cache = ResourceCache()
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
+        self.snapshot = TableSnapshot(
+            deployment.slices, deployment.classes, deployment.admission_mode == "share"
+        )
         resources.put_static_resources(
             self.cache, deployment.slices, max(1, deployment.default_retry), limits.ttl_us
         )
@@ -94,10 +96,10 @@
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Publishes the changes of a turn."""
-        changes, barrier = self.picture.turn(events, orders, self.addresses)
-        self.publish(self.picture.stands, changes, barrier)
+        changes, barrier = self.snapshot.apply_turn(events, orders, self.addresses)
+        self.publish(self.snapshot.tables, changes, barrier)
 
-    def publish(self, current: tables.Tables, changes: list[tables.Change], barrier: int | None) -> None:
+    def publish(self, current: tables.Tables, changes: list[tables.TableChange], barrier: int | None) -> None:
         """Publishes changes that `current` contains already, and a barrier behind them; wakes all streams."""
         if not changes and barrier is None:
             return
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -17,7 +17,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import WRITES, Client, ClientLimits, ConnectLimiter, ProxyNumbers
-from lapispass.core.facts import SECOND
+from lapispass.core.shared_types import SECOND
 from lapispass.core.versions import ResourceCache, Watch
 from lapispass.store.assignments import Assignments, Spoilt
 
@@ -57,7 +57,7 @@
         table.owners.clear()
     else:
         table.owners = dict.fromkeys(range(2), owner)
-    resources.update_assignments(cache, table, [tables.SetLine(number, owner) for number in range(2)], turn)
+    resources.update_assignments(cache, table, [tables.SetOwner(number, owner) for number in range(2)], turn)
 
 
 # versions
@@ -197,7 +197,7 @@
                 turn += 1
                 table = make_tables(slices=1)
                 table.owners = {0: owner} if owner else {}
-                resources.update_assignments(cache, table, [tables.SetLine(0, owner)], turn)
+                resources.update_assignments(cache, table, [tables.SetOwner(0, owner)], turn)
             case "send":
                 update = watch.next_update(NOW, 100)
                 if update is not None:
@@ -237,7 +237,7 @@
         if what == "publish":
             table = make_tables(slices=1)
             table.owners = {0: owner} if owner else {}
-            resources.update_assignments(cache, table, [tables.SetLine(0, owner)], turn)
+            resources.update_assignments(cache, table, [tables.SetOwner(0, owner)], turn)
         elif what == "send":
             watch.next_update(NOW, 100)
         elif watch.in_flight is not None:
@@ -452,9 +452,9 @@
     table.apply(tables.SetShare(0, 0.25, True))
     assert resources.assignment(table, 0, True).endpoints == ()
     assert resources.assignment(table, 0, False).drop_per_million == 750_000
-    table.apply(tables.SetOut("a", True))
+    table.apply(tables.SetWithdrawn("a", True))
     assert resources.assignment(table, 0, False).endpoints == ()
-    table.apply(tables.SetLine(1, None))
+    table.apply(tables.SetOwner(1, None))
     assert resources.assignment(table, 1, False).endpoints == ()
 
 
