--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -467,10 +467,12 @@
         stands = tables.Tables(2200)
         stands.nodes = {name: tables.Address("10.0.12.120:3000", "z01") for name in names(count)}
         stands.owners = {number: f"s-{number % count:08x}" for number in range(2200)}
-        return len(wire.line(wire.hello("g0", "1", "z01", "0", "", stands, nothing, {})))
+        return len(wire.encode_line(wire.hello_message("g0", "1", "z01", "0", "", stands, nothing, {})))
 
     def report(count: int) -> int:
-        return len(wire.line(wire.Report(1, {name: {"board": (30, 1, 20, 4000)} for name in names(count)})))
+        return len(
+            wire.encode_line(wire.Report(1, {name: {"board": (30, 1, 20, 4000)} for name in names(count)}))
+        )
 
     def looking(count: int) -> Callable[[], None]:
         kinds = [ConnectionClass("board", "/board", False, True, 1.0, 0.05)]
--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/fronts.py
@@ -26,9 +26,9 @@
     def fronts(service: Service) -> None:
         try:
             if source.told.HasField("gates"):
-                from lapispass.gate.desk import Desk
+                from lapispass.gate.gate_server import GateServer
 
-                service.beside.append(Desk(service, source))
+                service.beside.append(GateServer(service, source))
             if source.told.HasField("xds"):
                 from lapispass.xds.beside import Beside
 
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/gate_server.py
@@ -45,7 +45,7 @@
         self.name, self.number, self.writer = name, number, writer
 
 
-class Desk:
+class GateServer:
     """Listens for gates beside a `Service`; hands their news to its module, and its orders to them."""
 
     def __init__(self, service: Service, source: Source, limits: Limits | None = None) -> None:
@@ -81,7 +81,7 @@
             self.learn_addresses()
         changes, mark = self.picture.turn(events, orders, self.addresses)
         if changes or mark is not None:
-            message = wire.line(wire.turn(changes, mark))
+            message = wire.encode_line(wire.turn_message(changes, mark))
             self.counters["gates.turns"] += 1
             for gate in list(self.gates.values()):
                 self.send(gate, message)
@@ -159,7 +159,7 @@
     def tell_plan(self, name: str, plan: Plan, now: int) -> None:
         if gate := self.gates.get(name):
             self.counters["gates.plans"] += 1
-            self.send(gate, wire.line(wire.plan_told(plan, now)))
+            self.send(gate, wire.encode_line(wire.plan_message(plan, now)))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """The life of a gate's stream."""
@@ -194,24 +194,26 @@
 
     async def hear(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromGate:
         """The next message."""
-        return wire.GATE.decode(await read_line(reader, wait_us, self.limits.late_us))
+        return wire.GATE_DECODER.decode(await read_line(reader, wait_us, self.limits.late_us))
 
     async def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Joined:
         """Challenge, hello, and what stands: only the differences are sent."""
         nonce = secrets.token_hex(16)
-        writer.write(wire.line(wire.Challenge(nonce)))
+        writer.write(wire.encode_line(wire.Challenge(nonce)))
         hello = await self.hear(reader, self.limits.join_us)
         why = ""
         if not isinstance(hello, wire.Hello) or hello.protocol != wire.PROTOCOL:
             why = "no hello of this protocol"
-        elif hello.name not in self.numbers or not wire.proven(self.secret, hello.proof, nonce, hello.name):
+        elif hello.name not in self.numbers or not wire.verify_proof(
+            self.secret, hello.proof, nonce, hello.name
+        ):
             why = "not a gate of ours"
         elif hello.slices != self.picture.stands.slices:
             why = f"gate.slices is {hello.slices}, the deployment has {self.picture.stands.slices}"
         else:
             why = self.taken(hello.name, hello.boot)
         if why:
-            writer.write(wire.line(wire.Refusal(why)))
+            writer.write(wire.encode_line(wire.Refusal(why)))
             raise ValueError(why)
         assert isinstance(hello, wire.Hello)
         if (former := self.gates.get(hello.name)) is not None:
@@ -220,8 +222,14 @@
         now = self.service.clock.now()
         gate = Joined(hello.name, self.numbers[hello.name], writer)
         lease = self.service.launch.told.lease_us
-        writer.write(wire.line(wire.Welcome(wire.proof(self.secret, hello.nonce, "controller"), lease)))
-        writer.write(wire.line(wire.turn(self.picture.stands.differences(wire.stands(hello)), None)))
+        writer.write(
+            wire.encode_line(wire.Welcome(wire.proof(self.secret, hello.nonce, "controller"), lease))
+        )
+        writer.write(
+            wire.encode_line(
+                wire.turn_message(self.picture.stands.differences(wire.reported_tables(hello)), None)
+            )
+        )
         self.gates[gate.name] = gate
         self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
         self.service.tell(interface.Joined(gate.number, gate.name not in self.known, hello.zone, None))
@@ -242,14 +250,16 @@
     def take(self, gate: Joined, message: wire.FromGate) -> None:
         """What a gate that has joined says."""
         match message:
-            case wire.Beat():
-                self.send(gate, wire.line(message))
-            case wire.Answer(marks):
+            case wire.Heartbeat():
+                self.send(gate, wire.encode_line(message))
+            case wire.BarrierAcks(marks):
                 for mark, took_us in marks:
                     self.service.tell(interface.Answered(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
-                self.keeper.told(self.service.clock.now(), gate.name, message.serial, wire.counted(message))
+                self.keeper.told(
+                    self.service.clock.now(), gate.name, message.serial, wire.class_counts(message)
+                )
             case _:
                 raise ValueError(f"unasked {type(message).__name__}")
 
--- a/lapispass/gate/limits.py
+++ b/lapispass/gate/limits.py
@@ -25,7 +25,7 @@
 
     # counts
     connections: int = 20_000  # held
-    shaking: int = 1_000  # between being accepted and standing
+    handshakes_at_once: int = 1_000  # between being accepted and standing
     backlog: int = 1024
     at_once: int = 128  # accepted at once
     new_per_s: float = 500.0
@@ -46,10 +46,10 @@
     late_us: int = 100_000  # a process later than this stood still, and reads what waits first
     tick_us: int = 100_000
     report_us: int = 500_000
-    beat_us: int = 300_000
+    heartbeat_us: int = 300_000
     lease_us: int = 3_000_000  # without word of the controller, writes stop by then
-    again_least_us: int = 50_000
-    again_most_us: int = 1_000_000
+    retry_min_us: int = 50_000
+    retry_max_us: int = 1_000_000
     log_every_us: int = 1_000_000
     stop_us: int = 3_000_000  # for orderly closes at the end
 
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -14,7 +14,7 @@
 from lapispass.gate.evented_reader import EventedProtocol, EventedReader
 from lapispass.gate.handshake import Handshake
 from lapispass.gate.limits import Limits
-from lapispass.gate.lone import Lone
+from lapispass.gate.standalone import Standalone
 from lapispass.gate.tunnel import Tunnel
 from lapispass.gate.uplink import Uplink
 from lapispass.net import call_failures, log, process
@@ -60,7 +60,7 @@
         self.address = ""
         secret = operator.secret(settings.gate.secret_file, source, "gate.secret_file")
         self.uplink = Uplink(self, settings.gate.controller, secret) if settings.gate.controller else None
-        self.lone = None if settings.gate.controller else Lone(self, source)
+        self.standalone = None if settings.gate.controller else Standalone(self, source)
 
     # what tunnels call
 
@@ -135,7 +135,7 @@
         finally:
             for life in lives:
                 life.cancel()
-            self.server.close(self.limits.shaking)
+            self.server.close(self.limits.handshakes_at_once)
             await asyncio.gather(*self.server.tasks, return_exceptions=True)
             await self.leave()
             await asyncio.gather(*lives, return_exceptions=True)
@@ -176,9 +176,11 @@
             if self.ended.is_set():  # accepted in the instant of the end
                 await handshake.refuse_unread("the gate ends")
                 return
-            if len(self.upgrading) >= self.limits.shaking:  # Guards against never-ending handshakes.
+            if (
+                len(self.upgrading) >= self.limits.handshakes_at_once
+            ):  # Guards against never-ending handshakes.
                 self.counters["screens.crowded_out"] += 1
-                if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.shaking:
+                if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.handshakes_at_once:
                     await handshake.refuse_unread("too many upgrades at once")
                 else:  # Guards descriptors: so many are being refused already.
                     writer.transport.abort()
@@ -214,8 +216,8 @@
                 for tunnel in self.tunnels.values():
                     if tunnel.held.waiting:
                         tunnel.wake.set()
-            if self.lone is not None:
-                self.lone.tick(now)
+            if self.standalone is not None:
+                self.standalone.tick(now)
             for release in self.steering.tick(now, tick_us):
                 if tunnel := self.tunnels.get(release.number):
                     self.steering.leave(tunnel.held)
@@ -231,8 +233,8 @@
         self.counters["gate.reloads"] += 1
         try:
             source = operator.read(self.source.path)
-            if self.lone is not None:
-                self.lone.follow(source)
+            if self.standalone is not None:
+                self.standalone.follow(source)
         except BadFile as error:
             if error.may_pass:
                 return False
--- a/lapispass/gate/lone.py
+++ b/lapispass/gate/standalone.py
@@ -16,7 +16,7 @@
 STATES = {Node.READY: "ready", Node.DRAINING: "out", Node.GONE: "gone"}
 
 
-class Lone:
+class Standalone:
     """The keeper of one gate's plans, told by a file instead of a controller."""
 
     def __init__(self, gate: TableHost, source: Source) -> None:
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -26,7 +26,7 @@
     async def run(self) -> None:
         """Again and again, with waits that double and are spread by the gate's chance."""
         limits, gate = self.gate.limits, self.gate
-        wait_us = limits.again_least_us
+        wait_us = limits.retry_min_us
         while True:
             begun = gate.clock.now()
             try:
@@ -44,9 +44,9 @@
                 self.asked.clear()
             lasted = gate.clock.now() - begun
             wait_us = (
-                limits.again_least_us
-                if lasted > 10 * limits.beat_us
-                else min(limits.again_most_us, 2 * wait_us)
+                limits.retry_min_us
+                if lasted > 10 * limits.heartbeat_us
+                else min(limits.retry_max_us, 2 * wait_us)
             )
             await asyncio.sleep(wait_us * (0.5 + gate.steering.returns.draw()) / 1e6)
 
@@ -66,7 +66,7 @@
                 raise ValueError("it speaks another protocol")
             nonce, now = secrets.token_hex(16), gate.clock.now()
             steering, name = gate.steering, gate.settings.name
-            hello = wire.hello(
+            hello = wire.hello_message(
                 name,
                 self.boot,
                 gate.settings.zone,
@@ -76,11 +76,11 @@
                 steering.plan_version(),
                 steering.drains(now),
             )
-            writer.write(wire.line(hello))
+            writer.write(wire.encode_line(hello))
             welcome = await self.hear(reader, deadline - gate.clock.now())
             if isinstance(welcome, wire.Refusal):
                 raise ValueError(f"refused: {welcome.why}")
-            if not isinstance(welcome, wire.Welcome) or not wire.proven(
+            if not isinstance(welcome, wire.Welcome) or not wire.verify_proof(
                 self.secret, welcome.proof, nonce, "controller"
             ):
                 raise ValueError("it does not hold the key")
@@ -93,7 +93,7 @@
             telling = asyncio.get_running_loop().create_task(self.tell(writer))
             try:
                 while True:
-                    self.take(await self.hear(reader, 4 * limits.beat_us))  # beats are answered
+                    self.take(await self.hear(reader, 4 * limits.heartbeat_us))  # beats are answered
                     if telling.done():
                         telling.result()
             finally:
@@ -103,13 +103,13 @@
 
     async def hear(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromController:
         """The next message."""
-        return wire.CONTROLLER.decode(await read_line(reader, wait_us, self.gate.limits.late_us))
+        return wire.CONTROLLER_DECODER.decode(await read_line(reader, wait_us, self.gate.limits.late_us))
 
     def take(self, message: wire.FromController) -> None:
         """What the controller says; a plan that makes no sense is refused whole, by name."""
         gate, now = self.gate, self.gate.clock.now()
         match message:
-            case wire.Beat(number):
+            case wire.Heartbeat(number):
                 sent = self.beats.pop(number, None)
                 if sent is not None and gate.steering.lease is not None:
                     gate.steering.lease.renew(sent)
@@ -117,11 +117,11 @@
                 gate.counters["uplink.turns"] += 1
                 if message.mark is not None:
                     self.asked[message.mark] = now
-                gate.carry_out(wire.changes(message))
-            case wire.PlanTold():
+                gate.carry_out(wire.table_changes(message))
+            case wire.PlanMessage():
                 gate.counters["uplink.plans"] += 1
                 try:
-                    plan = wire.plan(message, now)
+                    plan = wire.parse_plan(message, now)
                 except ValueError as error:
                     gate.counters["uplink.plans_refused"] += 1
                     gate.log.rate_limited("plan refused", version=message.version, why=error)
@@ -141,7 +141,7 @@
             self.beats[self.beat] = now
             while len(self.beats) > 32:
                 self.beats.pop(next(iter(self.beats)))
-            writer.write(wire.line(wire.Beat(self.beat)))
+            writer.write(wire.encode_line(wire.Heartbeat(self.beat)))
             if now - reported >= limits.report_us:
                 reported = now
                 self.serial += 1
@@ -152,9 +152,9 @@
                     }
                     for node, by_class in gate.steering.book.report().items()
                 }
-                writer.write(wire.line(wire.Report(self.serial, rows)))
+                writer.write(wire.encode_line(wire.Report(self.serial, rows)))
             await writer.drain()
-            await asyncio.sleep(limits.beat_us / 1e6)
+            await asyncio.sleep(limits.heartbeat_us / 1e6)
 
     def answer(self, marks: list[int]) -> None:
         """Marks whose tables rule here now; none on a stream that did not ask them."""
@@ -162,4 +162,4 @@
         known = [(mark, now - self.asked.pop(mark)) for mark in marks if mark in self.asked]
         if known and self.writer is not None:
             self.gate.counters["uplink.answers"] += len(known)
-            self.writer.write(wire.line(wire.Answer(known)))
+            self.writer.write(wire.encode_line(wire.BarrierAcks(known)))
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -58,7 +58,7 @@
     why: str
 
 
-class Beat(msgspec.Struct, tag="beat", frozen=True):
+class Heartbeat(msgspec.Struct, tag="beat", frozen=True):
     """Either way: the gate's with a number, the controller's answer with the same one."""
 
     number: int
@@ -71,7 +71,7 @@
     rows: dict[str, dict[str, tuple[int, int, int, int]]]
 
 
-class Answer(msgspec.Struct, tag="answer", frozen=True):
+class BarrierAcks(msgspec.Struct, tag="answer", frozen=True):
     """Marks whose tables rule here, and what each took, us."""
 
     marks: list[tuple[int, int]]
@@ -87,7 +87,7 @@
     mark: int | None = None
 
 
-class PlanTold(msgspec.Struct, tag="plan", frozen=True):
+class PlanMessage(msgspec.Struct, tag="plan", frozen=True):
     version: tuple[int, int]
     # time left, us; points: in so many us, share
     curves: list[tuple[int, list[tuple[int, float]]]]
@@ -99,14 +99,14 @@
     dead: list[str]
 
 
-FromGate = Hello | Beat | Report | Answer
-FromController = Challenge | Welcome | Refusal | Beat | Turn | PlanTold
+FromGate = Hello | Heartbeat | Report | BarrierAcks
+FromController = Challenge | Welcome | Refusal | Heartbeat | Turn | PlanMessage
 ENCODER = msgspec.json.Encoder()
-GATE = msgspec.json.Decoder(FromGate)
-CONTROLLER = msgspec.json.Decoder(FromController)
+GATE_DECODER = msgspec.json.Decoder(FromGate)
+CONTROLLER_DECODER = msgspec.json.Decoder(FromController)
 
 
-def line(message: msgspec.Struct) -> bytes:
+def encode_line(message: msgspec.Struct) -> bytes:
     return ENCODER.encode(message) + b"\n"
 
 
@@ -118,11 +118,11 @@
     return hashlib.blake2b("\0".join(words).encode(), key=key, digest_size=32).hexdigest()
 
 
-def proven(secret: bytes, given: str, *words: str) -> bool:
+def verify_proof(secret: bytes, given: str, *words: str) -> bool:
     return hmac.compare_digest(given, proof(secret, *words))
 
 
-def hello(
+def hello_message(
     name: str,
     boot: str,
     zone: str,
@@ -149,7 +149,7 @@
     )
 
 
-def stands(told: Hello) -> tables.Tables:
+def reported_tables(told: Hello) -> tables.Tables:
     """The tables that a gate says it has."""
     there = tables.Tables(told.slices)
     there.owners = dict(told.lines)
@@ -159,7 +159,7 @@
     return there
 
 
-def turn(changes: Iterable[tables.Change], mark: int | None) -> Turn:
+def turn_message(changes: Iterable[tables.Change], mark: int | None) -> Turn:
     told = Turn([], [], [], [], mark)
     for change in changes:
         match change:
@@ -174,7 +174,7 @@
     return told
 
 
-def changes(told: Turn) -> list[tables.Change]:
+def table_changes(told: Turn) -> list[tables.Change]:
     """In an order that is safe at every step: addresses and shutting out first, what is let in or forgotten
     last."""
     made: list[tables.Change] = [
@@ -190,11 +190,11 @@
     return made
 
 
-def plan_told(plan: Plan, now: int) -> PlanTold:
+def plan_message(plan: Plan, now: int) -> PlanMessage:
     """As durations from now; nodes that leave together share a curve."""
     curves = list(dict.fromkeys(ceiling.curve for ceiling in plan.ceilings.values()))
     places = {curve: place for place, curve in enumerate(curves)}
-    return PlanTold(
+    return PlanMessage(
         (plan.version.life, plan.version.number),
         [(curve.deadline_us - now, [(at - now, share) for at, share in curve.points]) for curve in curves],
         {
@@ -208,7 +208,7 @@
     )
 
 
-def plan(told: PlanTold, now: int) -> Plan:
+def parse_plan(told: PlanMessage, now: int) -> Plan:
     """As times of the gate. Odd figures are a ValueError: nothing of such a plan is followed."""
     curves = []
     for left, points in told.curves:
@@ -236,7 +236,7 @@
     )
 
 
-def counted(told: Report) -> dict[str, dict[str, Counted]]:
+def class_counts(told: Report) -> dict[str, dict[str, Counted]]:
     """A report's rows; figures below nothing are a ValueError."""
     rows = {
         node: {name: Counted(*row) for name, row in by_class.items()} for node, by_class in told.rows.items()
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -14,7 +14,7 @@
 
 from lapispass.cli.fronts import attach, joined
 from lapispass.core.tables import slice_of
-from lapispass.gate.desk import Desk
+from lapispass.gate.gate_server import GateServer
 from lapispass.gate.limits import Limits
 from lapispass.gate.service import Gate
 from lapispass.gate.upgrade import accept_of
@@ -43,10 +43,10 @@
     quiet_us=30 * MS,
     tick_us=20 * MS,
     report_us=50 * MS,
-    beat_us=30 * MS,
+    heartbeat_us=30 * MS,
     lease_us=600 * MS,
-    again_least_us=10 * MS,
-    again_most_us=50 * MS,
+    retry_min_us=10 * MS,
+    retry_max_us=50 * MS,
 )
 CLASSES = """
 connection_class { name: "board" path_prefix: "/board" movable: true }
@@ -174,7 +174,7 @@
         self.names = ["g0", "g1", "g2"]
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.service: Service
-        self.desk: Desk
+        self.gate_server: GateServer
         self.port = 0
         self.secret = self.path / "key"
         self.extra = ""  # further fronts of the controller's file
@@ -215,10 +215,10 @@
         )
         self.service = Service(launch)
         attach(source)(self.service)
-        self.desk = next(front for front in self.service.beside if isinstance(front, Desk))
+        self.gate_server = next(front for front in self.service.beside if isinstance(front, GateServer))
         self.tasks["controller"] = asyncio.create_task(self.service.run())
-        await until(lambda: self.desk.address or self.tasks["controller"].done())
-        self.port = int(self.desk.address.rpartition(":")[2])
+        await until(lambda: self.gate_server.address or self.tasks["controller"].done())
+        self.port = int(self.gate_server.address.rpartition(":")[2])
 
     async def kill_controller(self) -> None:
         task = self.tasks.pop("controller")
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -80,7 +80,7 @@
     tmp_path: Path,
 ) -> None:
     # It was reset.
-    async with world(tmp_path, 1, replace(QUICK, shaking=1, handshake_us=5_000_000)) as stand:
+    async with world(tmp_path, 1, replace(QUICK, handshakes_at_once=1, handshake_us=5_000_000)) as stand:
         host, _, port = stand.gate.address.rpartition(":")
         _, first = await asyncio.open_connection(host, int(port))
         await asyncio.sleep(0.1)
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -263,7 +263,7 @@
         held = await boards(stand, 10)
         now = gate.clock.now()
         old = Plan(Version(1, 1), {}, {})
-        gate.uplink.take(wire.plan_told(old, now))
+        gate.uplink.take(wire.plan_message(old, now))
         assert gate.counters["uplink.plans_old"] == 1
         version = (gate.steering.plan.version.life, gate.steering.plan.version.number + 1)
         for points, place, returns in (
@@ -272,7 +272,9 @@
             ([(0, 0.5)], 1, 5.0),
             ([], 0, -1.0),
         ):
-            bad = wire.PlanTold(version, [(1000, points)], {"n0": (place, 5, 0.5)}, {}, returns, (1, 2), [])
+            bad = wire.PlanMessage(
+                version, [(1000, points)], {"n0": (place, 5, 0.5)}, {}, returns, (1, 2), []
+            )
             gate.uplink.take(bad)
         assert gate.counters["uplink.plans_refused"] == 4 and not gate.steering.plan.ceilings
         assert all(board.state.name == "OPEN" for board in held)
@@ -318,10 +320,10 @@
         held = await boards(stand, 30, "g0")
         controller = stand.service.controller
         await until(lambda: sum(standing.held for standing in controller.standings()) > 0.5)
-        await until(lambda: sum(stand.desk.keeper.held().values()) == 30)
+        await until(lambda: sum(stand.gate_server.keeper.held().values()) == 30)
         await stand.kill_gate("g0")
-        stand.desk.keeper.left(stand.service.clock.now() - 6_000 * MS, "g0")
-        await until(lambda: "g0" not in stand.desk.keeper.gates)
+        stand.gate_server.keeper.left(stand.service.clock.now() - 6_000 * MS, "g0")
+        await until(lambda: "g0" not in stand.gate_server.keeper.gates)
         await until(lambda: sum(standing.held for standing in controller.standings()) == 0)
         for board in held:
             await board.close()
--- a/tests/test_stream_timers.py
+++ b/tests/test_stream_timers.py
@@ -33,9 +33,9 @@
         assert uplink is not None and uplink.writer is not None
         for _ in range(3):
             await asyncio.sleep(0.2)
-            uplink.writer.write(wire.line(wire.Beat(-1)))
-            stand.desk.gates["g0"].writer.write(wire.line(wire.Beat(-1)))
-            time.sleep(stand.desk.limits.quiet_us / 1e6 + 0.1)  # noqa: ASYNC251
+            uplink.writer.write(wire.encode_line(wire.Heartbeat(-1)))
+            stand.gate_server.gates["g0"].writer.write(wire.encode_line(wire.Heartbeat(-1)))
+            time.sleep(stand.gate_server.limits.quiet_us / 1e6 + 0.1)  # noqa: ASYNC251
         await asyncio.sleep(0.5)
         assert counters["gates.joined"] == 1 and counters["gates.left"] == 0
 
--- a/tests/test_uplink.py
+++ b/tests/test_uplink.py
@@ -40,11 +40,13 @@
 async def answer_slowly(pause_s: float, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A controller that pauses before each of its two messages of the handshake."""
     await asyncio.sleep(pause_s)
-    writer.write(wire.line(wire.Challenge("nonce")))
-    hello = wire.GATE.decode(await reader.readuntil(b"\n"))
+    writer.write(wire.encode_line(wire.Challenge("nonce")))
+    hello = wire.GATE_DECODER.decode(await reader.readuntil(b"\n"))
     assert isinstance(hello, wire.Hello)
     await asyncio.sleep(pause_s)
-    writer.write(wire.line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), QUICK.lease_us)))
+    writer.write(
+        wire.encode_line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), QUICK.lease_us))
+    )
     await reader.read()
 
 
