--- a/lapispass/gate/evented_reader.py
+++ b/lapispass/gate/evented_reader.py
@@ -15,19 +15,19 @@
 
     def __init__(self, limit: int, wake: asyncio.Event) -> None:
         super().__init__(limit=limit, loop=asyncio.get_running_loop())
-        self.wake, self.over = wake, False
+        self.wake, self.ended = wake, False
 
     def feed_data(self, data: bytes) -> None:  # type: ignore[override]
         super().feed_data(data)
         self.wake.set()
 
     def feed_eof(self) -> None:
-        self.over = True
+        self.ended = True
         super().feed_eof()
         self.wake.set()
 
     def set_exception(self, exc: Exception) -> None:
-        self.over = True
+        self.ended = True
         super().set_exception(exc)
         self.wake.set()
 
@@ -46,9 +46,9 @@
     def __init__(
         self,
         reader: EventedReader,
-        met: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]] | None = None,
+        on_connect: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]] | None = None,
     ) -> None:
-        super().__init__(reader, met)
+        super().__init__(reader, on_connect)
         self.wake = reader.wake
 
     def resume_writing(self) -> None:
--- a/lapispass/gate/frames.py
+++ b/lapispass/gate/frames.py
@@ -31,17 +31,17 @@
     """A WebSocket connection to a client or to a node; named 'screen' or 'node', as in the counters."""
 
     __slots__ = (
-        "bound",
+        "acked_token",
+        "buffer_bytes",
         "full_since",
         "got_close",
-        "got_tokens",
-        "heard_at",
-        "inside",
+        "last_read_at",
+        "message_size",
+        "mid_message",
         "name",
         "pinged_at",
         "reader",
         "sent_close",
-        "size",
         "state",
         "token",
         "writer",
@@ -54,22 +54,22 @@
         writer: asyncio.StreamWriter,
         early: bytes,
         now: int,
-        bound: int,
+        buffer_bytes: int,
     ) -> None:
-        self.name, self.reader, self.writer, self.bound = name, reader, writer, bound
+        self.name, self.reader, self.writer, self.buffer_bytes = name, reader, writer, buffer_bytes
         kind = ConnectionType.SERVER if name == "screen" else ConnectionType.CLIENT
         self.state = Connection(kind, trailing_data=early)
-        self.inside = False  # in the middle of a message that it sends
-        self.size = 0  # of that message
+        self.mid_message = False  # in the middle of a message that it sends
+        self.message_size = 0  # of that message
         self.sent_close = self.got_close = False
         self.pinged_at = 0  # a ping of ours is out since then
-        self.heard_at = now
+        self.last_read_at = now
         self.full_since = 0  # its unsent bytes have been over the bound since then
         self.token = 0
-        self.got_tokens = 0
-        writer.transport.set_write_buffer_limits(high=bound, low=bound // 2)
+        self.acked_token = 0
+        writer.transport.set_write_buffer_limits(high=buffer_bytes, low=buffer_bytes // 2)
 
-    def event(self) -> Event | None:
+    def next_event(self) -> Event | None:
         """The next event of what has been read; a junk frame shows as a `CloseConnection` with its code."""
         if self.got_close:
             return None
@@ -78,20 +78,20 @@
             self.got_close = True
         return event
 
-    def take_in(self, piece: bytes, now: int) -> None:
+    def feed(self, piece: bytes, now: int) -> None:
         """What was read; behind a close nothing counts."""
-        self.heard_at = now
+        self.last_read_at = now
         if not self.got_close and self.state.state in (ConnectionState.OPEN, ConnectionState.LOCAL_CLOSING):
             self.state.receive_data(piece)
 
-    def count(self, event: Message[Any], most: int) -> bool:
+    def count_fragment(self, event: Message[Any], most: int) -> bool:
         """Counts a piece of a message that it sends; False where the message is too long by now."""
-        self.size += len(event.data)
-        if self.size > most:
+        self.message_size += len(event.data)
+        if self.message_size > most:
             return False
-        self.inside = not event.message_finished
+        self.mid_message = not event.message_finished
         if event.message_finished:
-            self.size = 0
+            self.message_size = 0
         return True
 
     def send(self, event: Event) -> bool:
@@ -106,7 +106,7 @@
         self.writer.write(data)
         return True
 
-    def pass_on(self, event: Message[Any]) -> bool:
+    def forward(self, event: Message[Any]) -> bool:
         """A message, or a piece of one, from the other side. An empty piece in the middle is left out."""
         if not event.data and not event.message_finished:
             return True
@@ -123,20 +123,20 @@
             self.pinged_at = now
         return self.token
 
-    def ponged(self, event: Pong) -> None:
+    def on_pong(self, event: Pong) -> None:
         """Any answer is a sign of life; the highest token answered counts, since a peer may answer only the
         last."""
         self.pinged_at = 0
         text = bytes(event.payload)
         if text.isdigit() and len(text) < 10 and int(text) <= self.token:
-            self.got_tokens = max(self.got_tokens, int(text))
+            self.acked_token = max(self.acked_token, int(text))
 
     @property
     def full(self) -> bool:
         """Whether so much is unsent that the other side is read no further."""
-        return self.writer.transport.get_write_buffer_size() > self.bound // 2
+        return self.writer.transport.get_write_buffer_size() > self.buffer_bytes // 2
 
-    def watch(self, now: int) -> None:
+    def update_full_since(self, now: int) -> None:
         """Notes since when it has not been reading."""
         if not self.full:
             self.full_since = 0
@@ -145,27 +145,27 @@
 
     def check(self, now: int, limits: Limits) -> PeerFailure | None:
         """Why the peer counts as gone; one that has been silent for a while is sent a ping."""
-        self.watch(now)
+        self.update_full_since(now)
         if self.full_since and now - self.full_since > limits.stuck_us:
             return PeerFailure.STUCK
         if self.pinged_at and now - self.pinged_at > limits.pong_us:
             return PeerFailure.SILENT
-        if now - self.heard_at > limits.ping_us and not self.pinged_at and not self.sent_close:
+        if now - self.last_read_at > limits.ping_us and not self.pinged_at and not self.sent_close:
             self.ping(now)
         return None
 
     def next_due(self, limits: Limits) -> int:
         """When `check` has something to do without anything coming."""
-        ping_at = self.pinged_at + limits.pong_us if self.pinged_at else self.heard_at + limits.ping_us
+        ping_at = self.pinged_at + limits.pong_us if self.pinged_at else self.last_read_at + limits.ping_us
         stuck_at = self.full_since + limits.stuck_us if self.full_since else NEVER
         return min(ping_at, stuck_at)
 
     @property
-    def lost(self) -> bool:
+    def ended(self) -> bool:
         """Ended by the peer, or broken, and all that came has been read."""
-        return self.reader.over and not self.reader.unread
+        return self.reader.ended and not self.reader.unread
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         """Ends it so that nothing more reaches the peer: unsent bytes are dropped here and in the kernel."""
         opened: socket.socket | None = self.writer.get_extra_info("socket")
         if opened is not None and not self.writer.transport.is_closing():
@@ -175,7 +175,7 @@
                 pass
         self.writer.transport.abort()
 
-    def end(self, timeout_s: float) -> None:
+    def close_after_flush(self, timeout_s: float) -> None:
         """Ends it after what is unsent has gone out; a peer that does not read is not waited for longer
         than that."""
         transport = self.writer.transport
--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -32,13 +32,13 @@
     connections: int = 256
     at_once: int = 32  # accepted at once
     join_us: int = 2_000_000
-    quiet_us: int = 1_500_000  # a gate beats every 0.3 s
-    look_us: int = 100_000
+    idle_us: int = 1_500_000  # a gate beats every 0.3 s
+    evaluation_us: int = 100_000
     late_us: int = 100_000  # a process later than this stood still, and reads what waits first
     log_every_us: int = 1_000_000
 
 
-class Joined:
+class JoinedGate:
     """A gate whose stream stands."""
 
     def __init__(self, name: str, number: int, writer: asyncio.StreamWriter) -> None:
@@ -52,7 +52,7 @@
         told = source.told
         if not told.HasField("gates"):
             raise BadFile([source.at("gates", "missing: the file tells no listener for gates")])
-        self.service, self.told, self.limits = service, told.gates, limits or Limits()
+        self.service, self.settings, self.limits = service, told.gates, limits or Limits()
         self.secret = operator.secret(told.gates.secret_file, source, "gates.secret_file")
         deployment = service.launch.told
         bounds = operator.bounds(told)
@@ -66,8 +66,10 @@
         }
         self.keeper = Keeper(operator.classes(told), bounds, operator.drain_terms(told), service.clock.now())
         self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
-        self.gates: dict[str, Joined] = {}
-        self.known: dict[str, tuple[str, int]] = {}  # name: the process that had it last, and when it left
+        self.gates: dict[str, JoinedGate] = {}
+        self.last_boots: dict[
+            str, tuple[str, int]
+        ] = {}  # name: the process that had it last, and when it left
         self.addresses: dict[str, tables.Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.log, self.counters = Part("gates", self.limits.log_every_us), service.counters
@@ -78,7 +80,7 @@
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn has been taken: its changes and its mark go to every gate, whole, in order."""
         if any(isinstance(event, interface.Listed) for event in events):
-            self.learn_addresses()
+            self.update_addresses()
         changes, mark = self.picture.turn(events, orders, self.addresses)
         if changes or mark is not None:
             message = wire.encode_line(wire.turn_message(changes, mark))
@@ -86,7 +88,7 @@
             for gate in list(self.gates.values()):
                 self.send(gate, message)
 
-    def learn_addresses(self) -> None:
+    def update_addresses(self) -> None:
         """Where nodes are; zones come with how the module sees them."""
         zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
         self.addresses = {
@@ -94,7 +96,7 @@
             for node, address in self.service.registry.addresses.items()
         }
 
-    def send(self, gate: Joined, message: bytes) -> None:
+    def send(self, gate: JoinedGate, message: bytes) -> None:
         """Guards memory against a gate that does not read: it is cut, and joins anew with what stands."""
         transport = gate.writer.transport
         if transport.get_write_buffer_size() > self.limits.unsent_bytes:
@@ -108,7 +110,7 @@
 
     async def run(self) -> None:
         """Listens, and looks after plans."""
-        listener = await listener_in_time(self.told.listen, self.limits.connections)
+        listener = await listener_in_time(self.settings.listen, self.limits.connections)
         server = Acceptor(
             listener,
             streams(self.serve, self.limits.line_bytes),
@@ -121,8 +123,8 @@
         self.log.say("listening for gates", address=self.address, gates=",".join(self.numbers))
         try:
             while True:
-                await asyncio.sleep(self.limits.look_us / 1e6)
-                self.look()
+                await asyncio.sleep(self.limits.evaluation_us / 1e6)
+                self.evaluate()
         finally:
             server.close()
             for gate in self.gates.values():
@@ -130,7 +132,7 @@
             for task in self.tasks:
                 task.cancel()
 
-    def look(self) -> None:
+    def evaluate(self) -> None:
         """How the module sees the nodes, what gates hold there, and what follows."""
         now = self.service.clock.now()
         self.keeper.see(
@@ -154,9 +156,9 @@
         for node, load in orders.loads.items():
             self.service.tell(interface.Holding(node, load))
         for name, plan in orders.plans.items():
-            self.tell_plan(name, plan, now)
+            self.send_plan(name, plan, now)
 
-    def tell_plan(self, name: str, plan: Plan, now: int) -> None:
+    def send_plan(self, name: str, plan: Plan, now: int) -> None:
         if gate := self.gates.get(name):
             self.counters["gates.plans"] += 1
             self.send(gate, wire.encode_line(wire.plan_message(plan, now)))
@@ -166,14 +168,14 @@
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
-        gate: Joined | None = None
+        gate: JoinedGate | None = None
         why = "ended"
         try:
             if len(self.tasks) > self.limits.connections:
                 raise ValueError("too many connections")
             gate = await self.welcome(reader, writer)
             while True:
-                self.take(gate, await self.hear(reader, self.limits.quiet_us))
+                self.handle(gate, await self.receive(reader, self.limits.idle_us))
         except STREAM_ENDS as error:
             why = f"{type(error).__name__} {error}"[:200]
             if gate is None:
@@ -189,18 +191,18 @@
             if gate is None:
                 writer.close()
             else:
-                self.part(gate, why)
+                self.remove(gate, why)
                 writer.transport.abort()
 
-    async def hear(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromGate:
+    async def receive(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromGate:
         """The next message."""
         return wire.GATE_DECODER.decode(await read_line(reader, wait_us, self.limits.late_us))
 
-    async def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Joined:
+    async def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> JoinedGate:
         """Challenge, hello, and what stands: only the differences are sent."""
         nonce = secrets.token_hex(16)
         writer.write(wire.encode_line(wire.Challenge(nonce)))
-        hello = await self.hear(reader, self.limits.join_us)
+        hello = await self.receive(reader, self.limits.join_us)
         why = ""
         if not isinstance(hello, wire.Hello) or hello.protocol != wire.PROTOCOL:
             why = "no hello of this protocol"
@@ -211,16 +213,16 @@
         elif hello.slices != self.picture.stands.slices:
             why = f"gate.slices is {hello.slices}, the deployment has {self.picture.stands.slices}"
         else:
-            why = self.taken(hello.name, hello.boot)
+            why = self.name_conflict(hello.name, hello.boot)
         if why:
             writer.write(wire.encode_line(wire.Refusal(why)))
             raise ValueError(why)
         assert isinstance(hello, wire.Hello)
         if (former := self.gates.get(hello.name)) is not None:
-            self.part(former, "joined anew")
+            self.remove(former, "joined anew")
             former.writer.transport.abort()
         now = self.service.clock.now()
-        gate = Joined(hello.name, self.numbers[hello.name], writer)
+        gate = JoinedGate(hello.name, self.numbers[hello.name], writer)
         lease = self.service.launch.told.lease_us
         writer.write(
             wire.encode_line(wire.Welcome(wire.proof(self.secret, hello.nonce, "controller"), lease))
@@ -232,22 +234,22 @@
         )
         self.gates[gate.name] = gate
         self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
-        self.service.tell(interface.Joined(gate.number, gate.name not in self.known, hello.zone, None))
-        self.known[gate.name] = hello.boot, 0
+        self.service.tell(interface.Joined(gate.number, gate.name not in self.last_boots, hello.zone, None))
+        self.last_boots[gate.name] = hello.boot, 0
         self.counters["gates.joined"] += 1
         self.log.say("gate joined", gate=gate.name, zone=hello.zone, drains=len(hello.drains))
         return gate
 
-    def taken(self, name: str, boot: str) -> str:
+    def name_conflict(self, name: str, boot: str) -> str:
         """Guards rule 2: another process under the same name has no say until the one before can write no
         more."""
-        former, left = self.known.get(name, (boot, 0))
+        former, left = self.last_boots.get(name, (boot, 0))
         lease = self.service.launch.told.lease_us
         if former == boot or (name not in self.gates and self.service.clock.now() > left + lease):
             return ""
         return "another process has had this name within the lease"
 
-    def take(self, gate: Joined, message: wire.FromGate) -> None:
+    def handle(self, gate: JoinedGate, message: wire.FromGate) -> None:
         """What a gate that has joined says."""
         match message:
             case wire.Heartbeat():
@@ -263,12 +265,12 @@
             case _:
                 raise ValueError(f"unasked {type(message).__name__}")
 
-    def part(self, gate: Joined, why: str) -> None:
+    def remove(self, gate: JoinedGate, why: str) -> None:
         """Its stream has ended: from now on the module counts its lease."""
         if self.gates.get(gate.name) is not gate:
             return
         del self.gates[gate.name]
-        self.known[gate.name] = self.known[gate.name][0], self.service.clock.now()
+        self.last_boots[gate.name] = self.last_boots[gate.name][0], self.service.clock.now()
         self.keeper.left(self.service.clock.now(), gate.name)
         self.service.tell(interface.Left(gate.number))
         self.counters["gates.left"] += 1
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -16,11 +16,11 @@
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
 from lapispass.gate.host import GateHost
-from lapispass.gate.node_connection import NodeOpener, NoNode
-from lapispass.gate.upgrade import BadUpgrade, Opening
+from lapispass.gate.node_connection import NodeOpener, UpgradeFailed
+from lapispass.gate.upgrade import BadUpgrade, UpgradeRequest
 from lapispass.net.streams import flush, has_input, read_arrived
 
-READS_AFTER_REFUSAL = 64  # of what still comes, thrown away
+MAX_READS_AFTER_REFUSAL = 64  # of what still comes, thrown away
 
 
 class Refusal(Exception):
@@ -31,7 +31,7 @@
         self.status, self.retry_after_us = status, retry_after_us
 
 
-class NothingAsked(Exception):
+class NoRequest(Exception):
     """The connection ends before its first byte: nobody waits for an answer on it."""
 
 
@@ -40,7 +40,7 @@
 
     key_parameter: str
 
-    def answered(self) -> None:
+    def upgrade_finished(self) -> None:
         """The task's upgrade has its final answer."""
 
 
@@ -64,7 +64,7 @@
         self.gate, self.limits, self.clock = gate, gate.limits, gate.clock
         self.reader, self.writer = reader, writer
         self.state = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head_bytes)
-        self.has_asked = False  # whether a byte has come
+        self.has_input_begun = False  # whether a byte has come
         name = writer.get_extra_info("peername")
         self.peer = str(name[0]) if name else "unknown"
 
@@ -73,10 +73,10 @@
         gate = self.gate
         try:
             opening = await self.read_head()
-            kind, key = self.asked(opening)
+            kind, key = self.classify(opening)
             opener = NodeOpener(gate, opening, self.peer, self.reader.wake)
-            go, node, protocol = await self.enter(kind, key, opener)
-        except NothingAsked:
+            go, node, protocol = await self.open_node(kind, key, opener)
+        except NoRequest:
             gate.counters["screens.never_asked"] += 1
             self.writer.transport.abort()
             return None
@@ -89,32 +89,32 @@
             await self.refuse(BadUpgrade(400, "unreadable"))
             return None
         except asyncio.CancelledError:  # the gate ends; who has asked is answered first
-            if self.has_asked or has_input(self.reader, self.writer):
-                await self.refuse(Refusal(503, "the gate ends", return_us(gate)))
+            if self.has_input_begun or has_input(self.reader, self.writer):
+                await self.refuse(Refusal(503, "the gate ends", return_delay_us(gate)))
             raise
-        if self.reader.over or self.writer.transport.is_closing():  # gone while its node was opened
+        if self.reader.ended or self.writer.transport.is_closing():  # gone while its node was opened
             gate.steering.fail(go.node)
-            node.end(0.0)
+            node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
             return None
-        self.writer.write(upgrade.answer(self.state, opening, protocol))
+        self.writer.write(upgrade.accept_response(self.state, opening, protocol))
         return Accepted(kind, key, go, node, protocol, opener, self.state.trailing_data[0])
 
-    async def read_head(self) -> Opening:
+    async def read_head(self) -> UpgradeRequest:
         """The whole head of an upgrade, in time."""
         until = asyncio.get_running_loop().time() + self.limits.handshake_us / 1e6
         while True:
             event = self.state.next_event()
             if event is h11.NEED_DATA:
-                self.state.receive_data(await self.piece_of_head(until))
+                self.state.receive_data(await self.read_head_piece(until))
             elif isinstance(event, h11.Request):
-                opening = upgrade.read_opening(event)
+                opening = upgrade.parse_upgrade(event)
             elif isinstance(event, h11.EndOfMessage):
                 return opening
             else:
                 raise BadUpgrade(400, "an upgrade has no body")
 
-    async def piece_of_head(self, until: float) -> bytes:
+    async def read_head_piece(self, until: float) -> bytes:
         """The next bytes by this time of the loop's clock, and those that have come although it is over."""
         limits = self.limits
         piece: bytes | None
@@ -124,19 +124,19 @@
         except TimeoutError:
             piece = await read_arrived(self.reader, self.writer, limits.read_bytes, limits.late_us)
         if piece is None:
-            raise self.head_is_late()
+            raise self.head_timeout_error()
         if not piece:
-            raise EOFError("ended before its head was whole") if self.has_asked else NothingAsked
-        self.has_asked = True
+            raise EOFError("ended before its head was whole") if self.has_input_begun else NoRequest
+        self.has_input_begun = True
         return piece
 
-    def head_is_late(self) -> Exception:
+    def head_timeout_error(self) -> Exception:
         """Only who has begun to ask is told so."""
-        if not self.has_asked:
-            return NothingAsked()
+        if not self.has_input_begun:
+            return NoRequest()
         return BadUpgrade(408, "the head of the upgrade did not come in time")
 
-    def asked(self, opening: Opening) -> tuple[ConnectionClass, str | None]:
+    def classify(self, opening: UpgradeRequest) -> tuple[ConnectionClass, str | None]:
         """Its class and its key."""
         kind = self.gate.steering.class_of(opening.path)
         if kind is None:
@@ -147,7 +147,7 @@
             raise Refusal(400, f"{name} stands twice, or is too long")
         return kind, keys[0] if keys and keys[0] else None
 
-    async def enter(
+    async def open_node(
         self, kind: ConnectionClass, key: str | None, opener: NodeOpener
     ) -> tuple[Go, Side, str | None]:
         """A node that has taken the upgrade, or a `Refusal` with when to come back."""
@@ -162,7 +162,7 @@
             try:
                 side, protocol = await opener.open(choice)
                 return choice, side, protocol
-            except NoNode as error:
+            except UpgradeFailed as error:
                 steering.fail(choice.node)
                 self.gate.counters["nodes.refused"] += 1
                 self.gate.log.rate_limited("node took no upgrade", node=choice.node, why=error)
@@ -179,17 +179,17 @@
 
     async def refuse(self, error: Refusal | BadUpgrade) -> None:
         """Answered at once, with when to come back where that is of use."""
-        self.gate.answered()
+        self.gate.upgrade_finished()
         self.gate.counters[f"screens.refused_{error.status}"] += 1
         headers = error.headers if isinstance(error, BadUpgrade) else ()
         wait = error.retry_after_us if isinstance(error, Refusal) else 0
         try:
-            self.writer.write(upgrade.refuse(self.state, error.status, str(error), headers, wait))
+            self.writer.write(upgrade.refusal_response(self.state, error.status, str(error), headers, wait))
             self.writer.write_eof()
             # Guards the answer: closed with bytes unread, the kernel would reset the connection, and what
             # is on its way be lost (RFC 9112 9.6). What still comes is thrown away, for a while.
             async with asyncio.timeout(self.limits.close_us / 1e6):
-                for _ in range(READS_AFTER_REFUSAL):
+                for _ in range(MAX_READS_AFTER_REFUSAL):
                     if not await self.reader.read(self.limits.read_bytes):
                         break
         except (h11.LocalProtocolError, OSError):
@@ -199,22 +199,22 @@
 
     async def refuse_unread(self, why: str) -> None:
         """Refuses it before it is read; who asks nothing within a moment is closed without a word."""
-        if not await self.asks_soon():
+        if not await self.has_input_soon():
             self.gate.counters["screens.never_asked"] += 1
             self.writer.transport.abort()
             return
-        await self.refuse(Refusal(503, why, return_us(self.gate)))
+        await self.refuse(Refusal(503, why, return_delay_us(self.gate)))
 
-    async def asks_soon(self) -> bool:
+    async def has_input_soon(self) -> bool:
         """Whether something comes within `Limits.flush_us`; it stays unread."""
         until = self.clock.now() + self.limits.flush_us
         while not has_input(self.reader, self.writer):
-            if self.reader.over or self.clock.now() >= until:
+            if self.reader.ended or self.clock.now() >= until:
                 return False
             await asyncio.sleep(self.limits.tick_us / 1e6 / 10)
         return True
 
 
-def return_us(gate: GateHost) -> int:
+def return_delay_us(gate: GateHost) -> int:
     """When a client may come back, counted from now: others are given other times."""
     return gate.steering.returns.delay_us(gate.clock.now())
--- a/lapispass/gate/host.py
+++ b/lapispass/gate/host.py
@@ -29,8 +29,8 @@
 class TableHost(GateHost, Protocol):
     """What whoever brings tables and plans needs: the stream to a controller, or the file of a lone gate."""
 
-    def carry_out(self, changes: Iterable[tables.Change]) -> None:
+    def apply_changes(self, changes: Iterable[tables.Change]) -> None:
         """Table changes and marks, at once: from here on nothing begins by the older table."""
 
-    def follow(self, plan: Plan) -> bool:
+    def follow_plan(self, plan: Plan) -> bool:
         """A plan; False where a newer one is in force."""
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -9,7 +9,7 @@
 from lapispass.core.steering import Go
 from lapispass.gate.frames import Side
 from lapispass.gate.limits import Limits
-from lapispass.gate.node_connection import NoNode
+from lapispass.gate.node_connection import UpgradeFailed
 
 
 class MoveFailed(Exception):
@@ -34,7 +34,7 @@
             return False
         try:
             self.new, chosen = self.opening.result()
-        except (NoNode, asyncio.CancelledError) as error:
+        except (UpgradeFailed, asyncio.CancelledError) as error:
             raise MoveFailed(f"{error}") from None
         if chosen != protocol:  # the client has been promised another one
             raise MoveFailed(f"subprotocol {chosen!r} in place of {protocol!r}")
@@ -45,7 +45,7 @@
         """Has the old node show that it has read all; True in the turn in which it has."""
         if self.step == "stopping" and not held.inside:
             self.step, self.token = "proving", old.ping(now)
-        if self.step == "proving" and old.got_tokens >= self.token:
+        if self.step == "proving" and old.acked_token >= self.token:
             self.step, self.until = "quieting", now + limits.fence_us
             return True
         return False
@@ -53,7 +53,7 @@
     def close_when_quiet(self, old: Side, held: Held, now: int, limits: Limits) -> None:
         """Closes the old node between two of its messages, once it is quiet or has had its time for that."""
         is_quiet = now - held.last_us >= limits.quiet_us or now >= self.until
-        if self.step == "quieting" and not old.inside and is_quiet:
+        if self.step == "quieting" and not old.mid_message and is_quiet:
             old.close(1000, "moved")
             self.step, self.until = "parting", now + limits.close_us
 
@@ -66,12 +66,12 @@
         """Ends the connection to the new node, now or as soon as it is up."""
         self.opening.cancel()
         if self.opening.done():
-            cut_opened(self.opening)
+            reset_opened(self.opening)
         else:
-            self.opening.add_done_callback(cut_opened)
+            self.opening.add_done_callback(reset_opened)
 
 
-def cut_opened(opening: asyncio.Task[tuple[Side, str | None]]) -> None:
+def reset_opened(opening: asyncio.Task[tuple[Side, str | None]]) -> None:
     """Cuts a connection that no move wants; whatever became of it has been heard."""
     if not opening.cancelled() and opening.exception() is None:
-        opening.result()[0].cut()
+        opening.result()[0].reset()
--- a/lapispass/gate/node_connection.py
+++ b/lapispass/gate/node_connection.py
@@ -12,11 +12,11 @@
 from lapispass.gate.evented_reader import EventedReader, connect
 from lapispass.gate.frames import Side
 from lapispass.gate.host import GateHost
-from lapispass.gate.upgrade import NodeHandshake, Opening
+from lapispass.gate.upgrade import NodeHandshake, UpgradeRequest
 from lapispass.net.http import within
 
 
-class NoNode(Exception):
+class UpgradeFailed(Exception):
     """A node did not take the upgrade; `final` where another node would say the same."""
 
     def __init__(self, why: str, status: int = 502, retry_after_us: int = 0) -> None:
@@ -30,16 +30,16 @@
     """Opens connections to nodes for one client's upgrade: at first, and for each move."""
 
     gate: GateHost
-    opening: Opening
+    opening: UpgradeRequest
     peer: str  # the client's address
     wake: asyncio.Event
 
     async def open(self, go: Go) -> tuple[Side, str | None]:
-        """A connection to a node that has answered 101, or `NoNode`."""
+        """A connection to a node that has answered 101, or `UpgradeFailed`."""
         gate, limits = self.gate, self.gate.limits
         address = gate.steering.tables.nodes.get(go.node)
         if address is None:
-            raise NoNode("its address is not known")
+            raise UpgradeFailed("its address is not known")
         handshake = NodeHandshake(self.opening, address.address, self.peer, limits.head_bytes)
         writer = None
         stands = False
@@ -50,22 +50,22 @@
                 limits.late_us,
                 lambda streams: streams[1].transport.abort(),
             )
-            writer.write(handshake.ask())
-            waited = answer_of(handshake, reader, limits.read_bytes)
+            writer.write(handshake.request_bytes())
+            waited = read_answer(handshake, reader, limits.read_bytes)
             answer = await within(limits.upgrade_us, waited, limits.late_us)
             if answer.status != 101:
-                raise NoNode(answer.why, answer.status, answer.retry_after_us)
+                raise UpgradeFailed(answer.why, answer.status, answer.retry_after_us)
             stands = True
             side = Side("node", reader, writer, answer.early, gate.clock.now(), limits.buffer_bytes)
             return side, answer.protocol
         except (OSError, EOFError, h11.RemoteProtocolError, h11.LocalProtocolError) as error:
-            raise NoNode(f"{type(error).__name__} {error}") from None
+            raise UpgradeFailed(f"{type(error).__name__} {error}") from None
         finally:
             if writer is not None and not stands:
                 writer.transport.abort()
 
 
-async def answer_of(handshake: NodeHandshake, reader: EventedReader, read_bytes: int) -> upgrade.Answer:
+async def read_answer(handshake: NodeHandshake, reader: EventedReader, read_bytes: int) -> upgrade.NodeAnswer:
     """A node's whole answer to an upgrade."""
     while True:
         piece = await reader.read(read_bytes)
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -64,39 +64,39 @@
 
     # what tunnels call
 
-    def answered(self) -> None:
+    def upgrade_finished(self) -> None:
         if (task := asyncio.current_task()) is not None:
             self.upgrading.discard(task)
 
     def opened(self, tunnel: Tunnel) -> None:
-        self.answered()
+        self.upgrade_finished()
         self.tunnels[tunnel.held.number] = tunnel
         self.counters["screens.standing"] += 1
 
-    def closed(self, tunnel: Tunnel, answers: list[int]) -> None:
+    def closed(self, tunnel: Tunnel, marks: list[int]) -> None:
         self.tunnels.pop(tunnel.held.number, None)
-        self.tell(answers)
+        self.acknowledge(marks)
 
-    def tell(self, answers: list[int]) -> None:
+    def acknowledge(self, marks: list[int]) -> None:
         """Marks that can be answered."""
-        if answers and self.uplink is not None:
-            self.uplink.answer(answers)
+        if marks and self.uplink is not None:
+            self.uplink.acknowledge(marks)
 
     # orders
 
-    def carry_out(self, changes: Iterable[tables.Change]) -> None:
+    def apply_changes(self, changes: Iterable[tables.Change]) -> None:
         """Table changes and marks, at once: from here on nothing begins by the older table."""
         now = self.clock.now()
         effects = self.steering.apply(changes)
         for number in effects.stopped:
             if tunnel := self.tunnels.get(number):
-                tunnel.stop_and_prove(now)
+                tunnel.start_fence(now)
         for number in effects.freed:
             if tunnel := self.tunnels.get(number):
                 tunnel.wake.set()
-        self.tell(effects.answers)
+        self.acknowledge(effects.answers)
 
-    def follow(self, plan: Plan) -> bool:
+    def follow_plan(self, plan: Plan) -> bool:
         """A plan of the controller; False where a newer one is in force. Nodes called gone must show a sign
         of life."""
         now, known = self.clock.now(), self.steering.plan.dead
@@ -105,7 +105,7 @@
         for node in plan.dead - known:
             for held in list(self.steering.book.at(node)):
                 if tunnel := self.tunnels.get(held.number):
-                    tunnel.stop_and_prove(now)
+                    tunnel.start_fence(now)
         return True
 
     # its life
@@ -116,43 +116,43 @@
         listener = await listener_in_time(self.settings.listen, self.limits.backlog)
         self.server = Acceptor(
             listener,
-            self.take,
+            self.make_protocol,
             name="screens",
             at_once=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
         self.address = await bound_address(listener)
-        lives = [
-            loop.create_task(life)
-            for life in (self.ticks(), self.ended.wait(), *([self.uplink.run()] if self.uplink else []))
+        loops = [
+            loop.create_task(loop_task)
+            for loop_task in (self.ticks(), self.ended.wait(), *([self.uplink.run()] if self.uplink else []))
         ]
         self.log.say("listening", name=self.settings.name, address=self.address, zone=self.settings.zone)
         try:
-            done, _ = await asyncio.wait(lives, return_when=asyncio.FIRST_COMPLETED)
-            for life in done:
-                life.result()
+            done, _ = await asyncio.wait(loops, return_when=asyncio.FIRST_COMPLETED)
+            for loop_task in done:
+                loop_task.result()
         finally:
-            for life in lives:
-                life.cancel()
+            for loop_task in loops:
+                loop_task.cancel()
             self.server.close(self.limits.handshakes_at_once)
             await asyncio.gather(*self.server.tasks, return_exceptions=True)
-            await self.leave()
-            await asyncio.gather(*lives, return_exceptions=True)
+            await self.close_all()
+            await asyncio.gather(*loops, return_exceptions=True)
             self.print_counters()
 
     def stop(self) -> None:
         self.ended.set()
 
-    async def leave(self) -> None:
+    async def close_all(self) -> None:
         """Its own end: each client gets a close frame with when to come back, and so does its node. Upgrades
         under way are refused."""
         now = self.clock.now()
         for task in self.upgrading:
             task.cancel()
         for tunnel in list(self.tunnels.values()):
-            tunnel.how = "gate ended"
-            tunnel.close_for_later(1001, now)
+            tunnel.end_reason = "gate ended"
+            tunnel.close_with_retry_delay(1001, now)
             tunnel.wake.set()
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=self.limits.stop_us / 1e6)
@@ -161,7 +161,7 @@
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=1)
 
-    def take(self) -> asyncio.Protocol:
+    def make_protocol(self) -> asyncio.Protocol:
         """A connection that has come, before its first byte."""
         return EventedProtocol(EventedReader(self.limits.read_bytes, asyncio.Event()), self.serve)
 
@@ -208,7 +208,7 @@
             was = self.steering.writable
             for number in self.steering.expired(now):
                 if tunnel := self.tunnels.get(number):  # proven or cut before the lease ends
-                    tunnel.stop_and_prove(now, max(now + 1, self.steering.lease_ends()))
+                    tunnel.start_fence(now, max(now + 1, self.steering.lease_ends()))
             if was != self.steering.writable:
                 self.log.warn(
                     "writes go on" if self.steering.writable else "no word of the controller: writes stop"
@@ -228,7 +228,7 @@
         counted = {**self.counters.fields(), **call_failures.counted(), "log.lost": log.lost()}
         self.log.say("counters", held=len(self.tunnels), **counted)
 
-    def read_again(self) -> bool:
+    def reload(self) -> bool:
         """SIGHUP: a gate that stands alone takes its nodes and lines anew; a bad file changes nothing."""
         self.counters["gate.reloads"] += 1
         try:
@@ -247,7 +247,7 @@
 async def serve(path: str | Path, seed: int) -> None:
     """A whole process: signals, the operator file and the gate."""
     gate = Gate(operator.read_at_start(path), seed)
-    process.on_signals(gate.stop, gate.print_counters, gate.read_again)
+    process.on_signals(gate.stop, gate.print_counters, gate.reload)
     await gate.run()
 
 
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -50,7 +50,7 @@
             elif ready:
                 wanted.owners[number] = ready[number % len(ready)]
         self.starts = {node.id: self.starts[node.id] for node in told.node if node.id in self.starts}
-        gate.carry_out(list(wanted.differences(gate.steering.tables)))
+        gate.apply_changes(list(wanted.differences(gate.steering.tables)))
         self.views = [
             NodeView(
                 node.id,
@@ -90,4 +90,4 @@
         for note in orders.notes:
             gate.log.say("drain", text=note)
         if plan := orders.plans.get(name):
-            gate.follow(plan)
+            gate.follow_plan(plan)
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -14,15 +14,15 @@
 from lapispass.gate import close_codes
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
-from lapispass.gate.handshake import Accepted, return_us
+from lapispass.gate.handshake import Accepted, return_delay_us
 from lapispass.gate.host import GateHost
 from lapispass.gate.move import Move, MoveFailed
 
-EVENTS_MOST = 8  # passed on from one side before the other one has its turn
+MAX_EVENTS_PER_PASS = 8  # passed on from one side before the other one has its turn
 
 
 @dataclass(slots=True)
-class Ending:
+class CloseHandshake:
     """A close handshake: first with the client ('client'), then with the node ('node')."""
 
     step: str
@@ -35,10 +35,10 @@
     def opened(self, tunnel: Tunnel) -> None:
         """The connection has its node."""
 
-    def closed(self, tunnel: Tunnel, answers: list[int]) -> None:
+    def closed(self, tunnel: Tunnel, marks: list[int]) -> None:
         """The connection has ended; marks that can be answered now."""
 
-    def tell(self, answers: list[int]) -> None:
+    def acknowledge(self, marks: list[int]) -> None:
         """Marks that can be answered."""
 
 
@@ -48,17 +48,17 @@
     __slots__ = (
         "client",
         "clock",
-        "deaf",
-        "ending",
+        "closing",
+        "discarding",
+        "end_reason",
+        "finished",
         "gate",
         "held",
-        "how",
-        "kept",
         "limits",
         "move",
         "node",
         "opener",
-        "over",
+        "pending_message",
         "proof",
         "proof_until",
         "proof_written",
@@ -76,11 +76,11 @@
         self.node: Side | None = accepted.node
         self.protocol, self.opener = accepted.protocol, accepted.opener
         self.held: Held = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
-        self.kept: Message[Any] | None = None  # a message that may not begin yet
+        self.pending_message: Message[Any] | None = None  # a message that may not begin yet
         self.move: Move | None = None
-        self.ending: Ending | None = None
-        self.over, self.how = False, "broken"
-        self.deaf = False  # closed by us: messages that may not be sent any more are thrown away
+        self.closing: CloseHandshake | None = None
+        self.finished, self.end_reason = False, "broken"
+        self.discarding = False  # closed by us: messages that may not be sent any more are thrown away
         self.release = ""  # 'move' or 'close', as the steering has asked
         self.proof = 0  # a ping whose answer proves that the node has read all
         self.proof_until = 0
@@ -90,49 +90,51 @@
         """From the upgrade to the last byte."""
         self.gate.opened(self)
         try:
-            while not self.over:
+            while not self.finished:
                 self.wake.clear()
                 now = self.clock.now()
-                await self.hear_client(now)
-                await self.hear_node(now)
+                await self.read_client(now)
+                await self.read_node(now)
                 self.act(now)
-                if not self.over:
-                    await self.pause(now)
+                if not self.finished:
+                    await self.wait(now)
         finally:
-            self.part()
+            self.tear_down()
 
     # passing on
 
-    async def hear_client(self, now: int) -> None:
+    async def read_client(self, now: int) -> None:
         """What the client sends goes to the node, as far as the node reads and the table lets it."""
         client = self.client
-        for _ in range(EVENTS_MOST):
-            if self.over or (self.node is not None and self.node.full):
+        for _ in range(MAX_EVENTS_PER_PASS):
+            if self.finished or (self.node is not None and self.node.full):
                 return
-            event: Event | None = self.kept or client.event()
+            event: Event | None = self.pending_message or client.next_event()
             if event is None:
                 if client.reader.unread and not client.got_close:
-                    client.take_in(await client.reader.read(self.limits.read_bytes), now)
+                    client.feed(await client.reader.read(self.limits.read_bytes), now)
                     continue
-                if client.lost and not client.got_close:
+                if client.ended and not client.got_close:
                     self.client_lost(now)
                 return
             match event:
                 case Message():
-                    if self.deaf or (self.ending and not client.inside and not self.may_begin(now)):
+                    if self.discarding or (
+                        self.closing and not client.mid_message and not self.may_begin(now)
+                    ):
                         # Guards the close: behind a message that goes nowhere any more the client's own close
                         # would never be read. The client has been told, and knows that it was not taken.
-                        self.deaf, self.kept, self.held.waiting = True, None, False
+                        self.discarding, self.pending_message, self.held.waiting = True, None, False
                         continue
-                    if not client.inside and not self.may_begin(now):
-                        self.kept, self.held.waiting = event, True
+                    if not client.mid_message and not self.may_begin(now):
+                        self.pending_message, self.held.waiting = event, True
                         return
-                    self.kept, self.held.waiting = None, False
-                    self.from_client(event, now)
+                    self.pending_message, self.held.waiting = None, False
+                    self.forward_to_node(event, now)
                 case Ping():
                     client.send(event.response())
                 case Pong():
-                    client.ponged(event)
+                    client.on_pong(event)
                 case CloseConnection(code=code, reason=reason):
                     self.client_closed(int(code), reason, now)
         self.wake.set()  # there may be more
@@ -147,36 +149,36 @@
             and (self.gate.steering.may_write(now, self.held))
         )
 
-    def from_client(self, event: Message[Any], now: int) -> None:
+    def forward_to_node(self, event: Message[Any], now: int) -> None:
         """A message or a piece of it; where it began is where it ends."""
-        if not self.client.count(event, self.limits.message_bytes):
+        if not self.client.count_fragment(event, self.limits.message_bytes):
             self.close(1009, "message too long", now)
             return
-        self.held.inside = self.client.inside
-        if self.node is not None and self.node.pass_on(event):
+        self.held.inside = self.client.mid_message
+        if self.node is not None and self.node.forward(event):
             self.gate.steering.wrote(now, self.held, len(event.data))
             self.gate.counters["messages.up"] += event.message_finished
 
-    async def hear_node(self, now: int) -> None:
+    async def read_node(self, now: int) -> None:
         """What the node sends goes to the client."""
         node = self.node
-        for _ in range(EVENTS_MOST):
-            if self.over or node is None or node is not self.node or self.client.full:
+        for _ in range(MAX_EVENTS_PER_PASS):
+            if self.finished or node is None or node is not self.node or self.client.full:
                 return
-            event = node.event()
+            event = node.next_event()
             if event is None:
                 if node.reader.unread and not node.got_close:
-                    node.take_in(await node.reader.read(self.limits.read_bytes), now)
+                    node.feed(await node.reader.read(self.limits.read_bytes), now)
                     continue
-                if node.lost and not node.got_close:
+                if node.ended and not node.got_close:
                     self.node_lost("ended without a close", now)
                 return
             match event:
                 case Message():
-                    if not node.count(event, self.limits.message_bytes):
+                    if not node.count_fragment(event, self.limits.message_bytes):
                         self.close(1009, "message too long", now)
                         return
-                    self.client.pass_on(event)
+                    self.client.forward(event)
                     self.held.last_us = now
                     self.held.messages += 1
                     self.held.octets += len(event.data)
@@ -184,7 +186,7 @@
                 case Ping():
                     node.send(event.response())
                 case Pong():
-                    node.ponged(event)
+                    node.on_pong(event)
                 case CloseConnection(code=code, reason=reason):
                     self.node_closed(int(code), reason, now)
         self.wake.set()
@@ -194,40 +196,42 @@
     def client_closed(self, code: int, reason: str | None, now: int) -> None:
         """Its close is answered, and told to the node. A junk frame shows as a close, too, with its code."""
         self.client.close(close_codes.forwarded(code, 1000))
-        if self.ending is None:
-            self.how = "screen closed" if code not in close_codes.PROTOCOL_ERRORS else "screen sent junk"
+        if self.closing is None:
+            self.end_reason = (
+                "screen closed" if code not in close_codes.PROTOCOL_ERRORS else "screen sent junk"
+            )
         self.close_node(close_codes.forwarded(code, 1000), now)
 
     def client_lost(self, now: int) -> None:
-        if self.ending is None:
-            self.how = "screen lost"
+        if self.closing is None:
+            self.end_reason = "screen lost"
         self.close_node(1001, now)
 
     def close_node(self, code: int, now: int) -> None:
         """The second half of every end: the node's close handshake, by which it has read all."""
         self.drop_move()
         if self.node is None or self.node.got_close:
-            self.over = True
+            self.finished = True
             return
         self.node.close(code)
-        self.ending = Ending("node", now + self.limits.close_us)
+        self.closing = CloseHandshake("node", now + self.limits.close_us)
 
     def node_closed(self, code: int, reason: str | None, now: int) -> None:
         """A node's close frame; having sent it, the node has read what it was going to read."""
         node = self.node
         assert node is not None
         node.close(close_codes.forwarded(code, 1000))
-        if self.ending is not None and self.ending.step == "node":
+        if self.closing is not None and self.closing.step == "node":
             self.proven()
-            self.over = True
+            self.finished = True
         elif self.move is not None and self.move.step == "parting":
             self.switch(now)
         elif code in close_codes.LEAVING:
             self.node_lost(f"closed with {code}", now)
         else:
-            self.how = "node closed"
+            self.end_reason = "node closed"
             self.node = None
-            node.end(self.limits.close_us / 1e6)
+            node.close_after_flush(self.limits.close_us / 1e6)
             code = close_codes.forwarded(code, 1000 if code == close_codes.NONE else 1011)
             self.close(code, reason or "", now)
 
@@ -236,15 +240,15 @@
         again."""
         gate, held, node = self.gate, self.held, self.node
         gate.counters["nodes.lost"] += 1
-        cut_short = held.unproven or held.inside or (node is not None and node.inside)
+        cut_short = held.unproven or held.inside or (node is not None and node.mid_message)
         if node is not None:
-            node.cut()  # nothing more reaches it: as good as read, for rule 2
+            node.reset()  # nothing more reaches it: as good as read, for rule 2
         self.node = None
         self.proof, self.proof_until = 0, 0
-        gate.tell(gate.steering.cut(held))
-        if self.ending is not None:
-            if self.ending.step == "node":
-                self.over = True
+        gate.acknowledge(gate.steering.cut(held))
+        if self.closing is not None:
+            if self.closing.step == "node":
+                self.finished = True
             return
         if (
             self.move is not None
@@ -259,84 +263,84 @@
         if self.move is None or cut_short:
             self.drop_move()
             gate.log.rate_limited("node lost", node=held.node, why=why)
-            self.how = "node lost"
-            self.close_for_later(1012, now)
+            self.end_reason = "node lost"
+            self.close_with_retry_delay(1012, now)
 
     # moves and ends that the gate asks for
 
     def act(self, now: int) -> None:
         """Orders, proofs, moves and times that have come."""
-        if self.over:
+        if self.finished:
             return
         self.follow_release(now)
-        self.look_at_move(now)
-        if not self.over:
-            self.check_sides(now)
-        if not self.over:
+        self.advance_fence_and_move(now)
+        if not self.finished:
+            self.check_peers(now)
+        if not self.finished:
             self.check_times(now)
 
     def follow_release(self, now: int) -> None:
         """Moves or closes, as the steering has asked."""
-        if not self.release or self.move is not None or self.ending is not None:
+        if not self.release or self.move is not None or self.closing is not None:
             return
-        how, self.release = self.release, ""
-        if how == "move" and self.node is not None:
+        action, self.release = self.release, ""
+        if action == "move" and self.node is not None:
             self.begin_move(now)
-        elif how == "close":
-            self.how = "closed in order"
-            self.close_for_later(1012, now)
+        elif action == "close":
+            self.end_reason = "closed in order"
+            self.close_with_retry_delay(1012, now)
 
-    def look_at_move(self, now: int) -> None:
+    def advance_fence_and_move(self, now: int) -> None:
         """What a node was asked to prove, and the move under way."""
         if self.proof_until and self.node is not None:
-            self.prove(self.node, now)
+            self.advance_fence(self.node, now)
         if self.move is not None:
-            self.go_on_moving(self.move, now)
+            self.advance_move(self.move, now)
 
-    def check_sides(self, now: int) -> None:
+    def check_peers(self, now: int) -> None:
         """Pings who is silent, and ends who does not read or answer."""
         for side in (self.client, self.node):
-            if side is None or self.over:
+            if side is None or self.finished:
                 continue
             if (failure := side.check(now, self.limits)) is not None:
                 self.gate.counters[f"{side.name}s.{failure.name.lower()}"] += 1
-                self.lose(side, failure, now)
+                self.peer_failed(side, failure, now)
 
     def check_times(self, now: int) -> None:
         """The idle time-out, and the bound of a close handshake."""
         idle_us, idle_for = self.limits.idle_us, now - self.held.last_us
-        if idle_us and idle_for > idle_us and self.ending is None and self.move is None:
-            self.how = "idle"
+        if idle_us and idle_for > idle_us and self.closing is None and self.move is None:
+            self.end_reason = "idle"
             self.close(1000, "idle", now)
-        if self.ending is None or now < self.ending.until:
+        if self.closing is None or now < self.closing.until:
             return
-        if self.ending.step == "client":  # it does not answer the close: its node is told all the same
+        if self.closing.step == "client":  # it does not answer the close: its node is told all the same
             self.gate.counters["screens.close_unanswered"] += 1
             self.close_node(1001, now)
         else:
-            self.over = True
+            self.finished = True
 
-    def lose(self, side: Side, why: str, now: int) -> None:
+    def peer_failed(self, side: Side, why: str, now: int) -> None:
         """A peer that does not read or answer counts as gone."""
         if side is self.client:
             side.writer.transport.abort()
-            self.how = f"screen {why}"
+            self.end_reason = f"screen {why}"
             self.close_node(1001, now)
         else:
             self.node_lost(why, now)
 
-    def stop_and_prove(self, now: int, until: int = NEVER) -> None:
+    def start_fence(self, now: int, until: int = NEVER) -> None:
         """The table has changed: the node has to show that it has read all that was written by the older
         one."""
         self.proof = 0  # a ping that is out may be older than the last message
         self.proof_until = min(self.proof_until or now + self.limits.fence_us, until)
         self.wake.set()
 
-    def prove(self, node: Side, now: int) -> None:
+    def advance_fence(self, node: Side, now: int) -> None:
         """The ping behind the last message; a node that does not answer in time is cut off."""
         if not self.proof and not self.held.inside and not node.sent_close:
             self.proof, self.proof_written = node.ping(now), self.held.written
-        if self.proof and node.got_tokens >= self.proof:
+        if self.proof and node.acked_token >= self.proof:
             self.proven(self.proof_written)
         elif now >= self.proof_until:
             self.gate.counters["fences.cut"] += 1
@@ -347,7 +351,7 @@
         """The node has read so many pieces; all, where nothing was written since."""
         self.proof, self.proof_until = 0, 0
         self.gate.counters["fences.proven"] += 1
-        self.gate.tell(
+        self.gate.acknowledge(
             self.gate.steering.proven(self.held, self.held.written if written is None else written)
         )
 
@@ -362,7 +366,7 @@
         opening.add_done_callback(lambda _: self.wake.set())
         self.move = Move(target, opening)
 
-    def go_on_moving(self, move: Move, now: int) -> None:
+    def advance_move(self, move: Move, now: int) -> None:
         """One step after the other; each has a bound in time."""
         held, limits = self.held, self.limits
         if move.step == "opening":
@@ -393,8 +397,8 @@
         self.drop_move()
         self.held.moves_failed += 1
         if self.node is None:
-            self.how = "node lost"
-            self.close_for_later(1012, now)
+            self.end_reason = "node lost"
+            self.close_with_retry_delay(1012, now)
 
     def drop_move(self) -> None:
         """A move that is not carried on; the place taken at the new node is given back."""
@@ -411,15 +415,15 @@
         assert move is not None and move.new is not None
         self.move, self.node = None, move.new
         if old is not None:
-            old.end(self.limits.close_us / 1e6)
+            old.close_after_flush(self.limits.close_us / 1e6)
         self.proof, self.proof_until = 0, 0
         self.gate.counters["moves.done"] += 1
-        self.gate.tell(self.gate.steering.moved(now, self.held, move.go))
+        self.gate.acknowledge(self.gate.steering.moved(now, self.held, move.go))
         self.wake.set()
 
     def close(self, code: int, reason: str, now: int) -> None:
         """In order: first the client, whose last messages still go to the node, then the node."""
-        if self.ending is not None:
+        if self.closing is not None:
             return
         self.drop_move()
         self.gate.steering.leave(self.held)
@@ -427,16 +431,16 @@
             self.close_node(1001, now)
             return
         self.gate.counters[f"screens.closed_{close_codes.label(code)}"] += 1
-        self.ending = Ending("client", now + self.limits.close_us)
+        self.closing = CloseHandshake("client", now + self.limits.close_us)
 
-    def close_for_later(self, code: int, now: int) -> None:
+    def close_with_retry_delay(self, code: int, now: int) -> None:
         """With when to come back: clients that are closed together are given different times."""
-        wait_us = return_us(self.gate)
+        wait_us = return_delay_us(self.gate)
         self.close(code, f"come-back-ms={wait_us // 1000}", now)
 
     # waiting, and the end
 
-    async def pause(self, now: int) -> None:
+    async def wait(self, now: int) -> None:
         """Until one end has something, an order has come, or a time is due."""
         due = self.next_due(now)
         if self.wake.is_set():
@@ -458,25 +462,25 @@
             due = min(due, self.held.last_us + limits.idle_us)
         if self.proof_until:
             due = min(due, self.proof_until)
-        if self.ending is not None:
-            due = min(due, self.ending.until)
+        if self.closing is not None:
+            due = min(due, self.closing.until)
         if self.move is not None:
             due = min(due, self.move.next_due(self.held, limits))
         return max(due, now + 1000)
 
-    def part(self) -> None:
+    def tear_down(self) -> None:
         """Whatever ended it: nothing of it is left, and marks that waited for it are told."""
         self.drop_move()
         limits, steering = self.limits, self.gate.steering
         if self.node is not None:
             if self.node.got_close or not self.held.unproven:
-                self.node.end(limits.close_us / 1e6)
+                self.node.close_after_flush(limits.close_us / 1e6)
             else:
                 # Guards rule 2: no byte of an older table is sent by the kernel behind our back.
-                self.node.cut()
+                self.node.reset()
         if self.client.sent_close or self.client.got_close:
-            self.client.end(limits.close_us / 1e6)
+            self.client.close_after_flush(limits.close_us / 1e6)
         else:
             self.client.writer.transport.abort()
-        self.gate.counters[f"ended.{self.how.replace(' ', '_')}"] += 1
+        self.gate.counters[f"ended.{self.end_reason.replace(' ', '_')}"] += 1
         self.gate.closed(self, steering.gone(self.held))
--- a/lapispass/gate/upgrade.py
+++ b/lapispass/gate/upgrade.py
@@ -12,10 +12,10 @@
 
 import h11
 
-MAGIC = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
+ACCEPT_GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 # Hop by hop (RFC 9110 7.6.1) or made anew by the gate; extensions are not passed on: the gate reads every
 # frame, so compression is negotiated away on both sides.
-OURS = {
+NOT_FORWARDED = {
     b"connection",
     b"upgrade",
     b"host",
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class UpgradeRequest:
     """An upgrade as a client asked for it."""
 
     target: str
@@ -67,7 +67,7 @@
     ]
 
 
-def read_opening(request: h11.Request) -> Opening:
+def parse_upgrade(request: h11.Request) -> UpgradeRequest:
     """The upgrade that a request asks for, or a `BadUpgrade`."""
     headers = list(request.headers)
     if "websocket" not in (word.lower() for word in tokens(headers, b"upgrade")) or "upgrade" not in (
@@ -90,32 +90,32 @@
     if not fits:
         raise BadUpgrade(400, "Sec-WebSocket-Key is not 16 bytes in base64")
     host = next((value for key, value in headers if key == b"host"), b"")
-    return Opening(
+    return UpgradeRequest(
         request.target.decode("latin-1"),
         keys[0],
         tuple(tokens(headers, b"sec-websocket-protocol")),
-        tuple((key, value) for key, value in headers if key not in OURS),
+        tuple((key, value) for key, value in headers if key not in NOT_FORWARDED),
         host,
     )
 
 
-def accept_of(key: bytes) -> bytes:
-    return base64.b64encode(hashlib.sha1(key + MAGIC, usedforsecurity=False).digest())
+def accept_value(key: bytes) -> bytes:
+    return base64.b64encode(hashlib.sha1(key + ACCEPT_GUID, usedforsecurity=False).digest())
 
 
-def answer(state: h11.Connection, opening: Opening, protocol: str | None) -> bytes:
+def accept_response(state: h11.Connection, opening: UpgradeRequest, protocol: str | None) -> bytes:
     """101, with the subprotocol that the node has chosen."""
     headers = [
         (b"upgrade", b"websocket"),
         (b"connection", b"Upgrade"),
-        (b"sec-websocket-accept", accept_of(opening.key)),
+        (b"sec-websocket-accept", accept_value(opening.key)),
     ]
     if protocol:
         headers.append((b"sec-websocket-protocol", protocol.encode("latin-1")))
     return state.send(h11.InformationalResponse(status_code=101, headers=headers)) or b""
 
 
-def refuse(
+def refusal_response(
     state: h11.Connection,
     status: int,
     why: str,
@@ -143,7 +143,7 @@
 class NodeHandshake:
     """The handshake with a node: the same target and headers, a key of its own."""
 
-    def __init__(self, opening: Opening, address: str, peer: str, head_bytes: int) -> None:
+    def __init__(self, opening: UpgradeRequest, address: str, peer: str, head_bytes: int) -> None:
         self.key = base64.b64encode(os.urandom(16))
         self.protocols = opening.protocols
         self.state = h11.Connection(h11.CLIENT, max_incomplete_event_size=head_bytes)
@@ -163,10 +163,10 @@
             ],
         )
 
-    def ask(self) -> bytes:
+    def request_bytes(self) -> bytes:
         return (self.state.send(self.request) or b"") + (self.state.send(h11.EndOfMessage()) or b"")
 
-    def read(self, piece: bytes) -> Answer | None:
+    def read(self, piece: bytes) -> NodeAnswer | None:
         """What the node answers, once its head is whole; h11 errors for what is no HTTP."""
         self.state.receive_data(piece)
         event = self.state.next_event()
@@ -177,25 +177,25 @@
             protocol = tokens(headers, b"sec-websocket-protocol")
             accepts = [value for key, value in headers if key == b"sec-websocket-accept"]
             if (
-                accepts != [accept_of(self.key)]
+                accepts != [accept_value(self.key)]
                 or tokens(headers, b"sec-websocket-extensions")
                 or (protocol and (len(protocol) > 1 or protocol[0] not in self.protocols))
             ):
-                return Answer(502, None, b"", 0, "the node's answer fits no upgrade")
-            return Answer(101, protocol[0] if protocol else None, self.state.trailing_data[0], 0, "")
+                return NodeAnswer(502, None, b"", 0, "the node's answer fits no upgrade")
+            return NodeAnswer(101, protocol[0] if protocol else None, self.state.trailing_data[0], 0, "")
         if isinstance(event, h11.Response):
             wait = next((value for key, value in event.headers if key == b"retry-after"), b"0")
             seconds = int(wait) if wait.isdigit() and len(wait) < 7 else 0
-            return Answer(
+            return NodeAnswer(
                 event.status_code, None, b"", seconds * 1_000_000, f"the node answered {event.status_code}"
             )
         if isinstance(event, h11.InformationalResponse):
             return None
-        return Answer(502, None, b"", 0, "the node ended the connection")
+        return NodeAnswer(502, None, b"", 0, "the node ended the connection")
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class NodeAnswer:
     """A node's answer to an upgrade; 101 stands, all else is its refusal."""
 
     status: int
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -18,10 +18,10 @@
     def __init__(self, gate: TableHost, address: str, secret: bytes) -> None:
         self.gate, self.address, self.secret = gate, address, secret
         self.writer: asyncio.StreamWriter | None = None  # while it has joined
-        self.beats: dict[int, int] = {}  # number: when it was sent
-        self.beat = self.serial = 0
+        self.heartbeats_sent: dict[int, int] = {}  # number: when it was sent
+        self.heartbeat_number = self.serial = 0
         self.boot = secrets.token_hex(8)
-        self.asked: dict[int, int] = {}  # mark: when it came
+        self.barriers_at: dict[int, int] = {}  # mark: when it came
 
     async def run(self) -> None:
         """Again and again, with waits that double and are spread by the gate's chance."""
@@ -41,7 +41,7 @@
                     self.writer.transport.abort()
                 self.writer = None
                 gate.steering.fences.restart()
-                self.asked.clear()
+                self.barriers_at.clear()
             lasted = gate.clock.now() - begun
             wait_us = (
                 limits.retry_min_us
@@ -61,7 +61,7 @@
         )
         try:
             deadline = gate.clock.now() + limits.connect_us  # for both messages of the handshake
-            challenge = await self.hear(reader, limits.connect_us)
+            challenge = await self.receive(reader, limits.connect_us)
             if not isinstance(challenge, wire.Challenge) or challenge.protocol != wire.PROTOCOL:
                 raise ValueError("it speaks another protocol")
             nonce, now = secrets.token_hex(16), gate.clock.now()
@@ -77,7 +77,7 @@
                 steering.drains(now),
             )
             writer.write(wire.encode_line(hello))
-            welcome = await self.hear(reader, deadline - gate.clock.now())
+            welcome = await self.receive(reader, deadline - gate.clock.now())
             if isinstance(welcome, wire.Refusal):
                 raise ValueError(f"refused: {welcome.why}")
             if not isinstance(welcome, wire.Welcome) or not wire.verify_proof(
@@ -87,37 +87,37 @@
             if steering.lease is not None:
                 steering.lease.length_us = min(limits.lease_us, welcome.lease_us)
             self.writer = writer
-            self.beats.clear()
+            self.heartbeats_sent.clear()
             gate.counters["uplink.joined"] += 1
             gate.log.say("joined", controller=self.address)
-            telling = asyncio.get_running_loop().create_task(self.tell(writer))
+            sending = asyncio.get_running_loop().create_task(self.send_heartbeats(writer))
             try:
                 while True:
-                    self.take(await self.hear(reader, 4 * limits.heartbeat_us))  # beats are answered
-                    if telling.done():
-                        telling.result()
+                    self.handle(await self.receive(reader, 4 * limits.heartbeat_us))  # beats are answered
+                    if sending.done():
+                        sending.result()
             finally:
-                telling.cancel()
+                sending.cancel()
         finally:
             writer.transport.abort()
 
-    async def hear(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromController:
+    async def receive(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromController:
         """The next message."""
         return wire.CONTROLLER_DECODER.decode(await read_line(reader, wait_us, self.gate.limits.late_us))
 
-    def take(self, message: wire.FromController) -> None:
+    def handle(self, message: wire.FromController) -> None:
         """What the controller says; a plan that makes no sense is refused whole, by name."""
         gate, now = self.gate, self.gate.clock.now()
         match message:
             case wire.Heartbeat(number):
-                sent = self.beats.pop(number, None)
+                sent = self.heartbeats_sent.pop(number, None)
                 if sent is not None and gate.steering.lease is not None:
                     gate.steering.lease.renew(sent)
             case wire.Turn():
                 gate.counters["uplink.turns"] += 1
                 if message.mark is not None:
-                    self.asked[message.mark] = now
-                gate.carry_out(wire.table_changes(message))
+                    self.barriers_at[message.mark] = now
+                gate.apply_changes(wire.table_changes(message))
             case wire.PlanMessage():
                 gate.counters["uplink.plans"] += 1
                 try:
@@ -126,22 +126,22 @@
                     gate.counters["uplink.plans_refused"] += 1
                     gate.log.rate_limited("plan refused", version=message.version, why=error)
                     return
-                if not gate.follow(plan):
+                if not gate.follow_plan(plan):
                     gate.counters["uplink.plans_old"] += 1
             case _:
                 raise ValueError(f"unasked {type(message).__name__}")
 
-    async def tell(self, writer: asyncio.StreamWriter) -> None:
+    async def send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
         """Beats and reports, as long as the stream stands."""
         gate, limits = self.gate, self.gate.limits
         reported = 0
         while True:
             now = gate.clock.now()
-            self.beat += 1
-            self.beats[self.beat] = now
-            while len(self.beats) > 32:
-                self.beats.pop(next(iter(self.beats)))
-            writer.write(wire.encode_line(wire.Heartbeat(self.beat)))
+            self.heartbeat_number += 1
+            self.heartbeats_sent[self.heartbeat_number] = now
+            while len(self.heartbeats_sent) > 32:
+                self.heartbeats_sent.pop(next(iter(self.heartbeats_sent)))
+            writer.write(wire.encode_line(wire.Heartbeat(self.heartbeat_number)))
             if now - reported >= limits.report_us:
                 reported = now
                 self.serial += 1
@@ -156,10 +156,10 @@
             await writer.drain()
             await asyncio.sleep(limits.heartbeat_us / 1e6)
 
-    def answer(self, marks: list[int]) -> None:
+    def acknowledge(self, marks: list[int]) -> None:
         """Marks whose tables rule here now; none on a stream that did not ask them."""
         now = self.gate.clock.now()
-        known = [(mark, now - self.asked.pop(mark)) for mark in marks if mark in self.asked]
+        known = [(mark, now - self.barriers_at.pop(mark)) for mark in marks if mark in self.barriers_at]
         if known and self.writer is not None:
             self.gate.counters["uplink.answers"] += len(known)
             self.writer.write(wire.encode_line(wire.BarrierAcks(known)))
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -79,7 +79,7 @@
     def __init__(self, day: GateDay, name: str) -> None:
         self.day, self.name, self.status, self.sent = day, name, b"", 0
         path = day.chance.choice(PATHS)
-        self.ask = (
+        self.request = (
             f"GET {path}?key=k{day.chance.randrange(40)} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\n"
             "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"
             "Sec-WebSocket-Key: MDEyMzQ1Njc4OWFiY2RlZg==\r\n\r\n"
@@ -107,11 +107,11 @@
     async def upgrade(self) -> bool:
         """Asks for the upgrade in two pieces; whether it was granted."""
         self.day.verdict.asked += 1
-        cut = self.day.chance.randrange(1, len(self.ask))
-        self.writer.write(self.ask[:cut])
+        cut = self.day.chance.randrange(1, len(self.request))
+        self.writer.write(self.request[:cut])
         await asyncio.sleep(self.day.chance.choice((0, 0, 0.05)))
         begun = asyncio.get_running_loop().time()
-        self.writer.write(self.ask[cut:])
+        self.writer.write(self.request[cut:])
         self.status = await self.in_time(self.reader.readuntil(b"\r\n\r\n"), "upgrade")
         self.day.verdict.answered += 1
         self.note_time(begun)
@@ -164,8 +164,8 @@
     def judge(self) -> None:
         """An upgrade that was read whole has its status; called when the connection has ended."""
         read = self.day.running.faults.bytes_read_from(self.port) - self.read_before
-        if read >= len(self.ask) and not self.status:
-            self.day.breach(f"lost: an upgrade of {len(self.ask)} bytes, {read} read, no status")
+        if read >= len(self.request) and not self.status:
+            self.day.breach(f"lost: an upgrade of {len(self.request)} bytes, {read} read, no status")
 
     async def live(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
         """From the connection to its end."""
@@ -194,7 +194,7 @@
         await Client(day, f"{name}.{lives}").live((0, 0, 0.01, 0.1, 0.5))
 
 
-async def begin_late(day: GateDay, name: str) -> None:
+async def upgrade_late(day: GateDay, name: str) -> None:
     """Connections that ask for their upgrade after some silence, also while the gate ends."""
     rounds = 0
     while not day.told_to_end:
@@ -258,7 +258,7 @@
 
 def gates_clients(day: GateDay, round_number: int) -> list[Coroutine[Any, Any, None]]:
     clients = [converse(day, f"{round_number}.{number}") for number in range(CLIENTS)]
-    clients += [begin_late(day, f"{round_number}.late"), misbehave(day), drain(day)]
+    clients += [upgrade_late(day, f"{round_number}.late"), misbehave(day), drain(day)]
     if day.is_crowded:
         clients += [crowd(day, f"{round_number}.crowd")]
     return clients
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -17,7 +17,7 @@
 from lapispass.gate.gate_server import GateServer
 from lapispass.gate.limits import Limits
 from lapispass.gate.service import Gate
-from lapispass.gate.upgrade import accept_of
+from lapispass.gate.upgrade import accept_value
 from lapispass.interface import Deployment
 from lapispass.net import limits as net
 from lapispass.net.codec import Listing
@@ -30,7 +30,7 @@
 from lapispass.standins.platform import Member, Registry, Relay
 
 MS = 1000
-QUICK = replace(
+SHORT_LIMITS = replace(
     Limits(),
     handshake_us=300 * MS,
     connect_us=300 * MS,
@@ -67,13 +67,15 @@
     if key is not None:
         writer.write(
             b"HTTP/1.1 101 x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Accept: "
-            + accept_of(key.encode())
+            + accept_value(key.encode())
             + b"\r\n\r\n"
         )
     return key is not None
 
 
-def alone(nodes: dict[str, tuple[str, str]], grace_ms: int = 600, more: str = "", bounds: str = "") -> str:
+def standalone_file(
+    nodes: dict[str, tuple[str, str]], grace_ms: int = 600, more: str = "", bounds: str = ""
+) -> str:
     """An operator file for a gate that stands alone; each node by its address and state."""
     lines = [
         f'node {{ id: "{name}" address: "{address}" state: {state} }}'
@@ -87,7 +89,7 @@
     )
 
 
-class World:
+class StandaloneGate:
     """A gate that stands alone, and its nodes."""
 
     def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **how: Any) -> None:
@@ -96,26 +98,26 @@
 
     def write(self) -> None:
         told = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
-        self.file.write_text(alone(told, **self.how))
+        self.file.write_text(standalone_file(told, **self.how))
 
     def set(self, **states: str) -> None:
         """Says anew how nodes stand, and has the gate read it."""
         self.states.update(states)
         self.write()
-        self.gate.read_again()
+        self.gate.reload()
 
     def url(self, target: str) -> str:
         return f"ws://{self.gate.address}{target}"
 
 
 @asynccontextmanager
-async def world(
+async def standalone_gate(
     tmp_path: Path,
     count: int = 2,
-    limits: Limits = QUICK,
+    limits: Limits = SHORT_LIMITS,
     nodes: dict[str, CounterNode] | None = None,
     **how: Any,
-) -> AsyncIterator[World]:
+) -> AsyncIterator[StandaloneGate]:
     """Nodes `n0`, `n1` ... (or those given) and a gate in front of them."""
     nodes = (
         nodes if nodes is not None else {f"n{number}": CounterNode(f"n{number}") for number in range(count)}
@@ -124,13 +126,13 @@
         if not node.address:
             await node.start()
     file = tmp_path / "gate.textproto"
-    stand = World(None, nodes, file, **how)  # type: ignore[arg-type]
-    stand.write()
-    stand.gate = gate = Gate(operator.read(file), 7, limits)
+    env = StandaloneGate(None, nodes, file, **how)  # type: ignore[arg-type]
+    env.write()
+    env.gate = gate = Gate(operator.read(file), 7, limits)
     running = asyncio.create_task(gate.run())
     await until(lambda: gate.address or running.done())
     try:
-        yield stand
+        yield env
     finally:
         gate.stop()
         await asyncio.wait_for(running, 10)
@@ -138,7 +140,7 @@
             await node.stop()
 
 
-TOLD = deployment(
+DEPLOYMENT = deployment(
     proxies=1,
     lease_us=600 * MS,
     linger_us=300 * MS,
@@ -280,19 +282,19 @@
     gates: int = 1,
     grace_ms: int = 1500,
     bounds: str = "",
-    told: Deployment = TOLD,
-    limits: Limits = QUICK,
+    told: Deployment = DEPLOYMENT,
+    limits: Limits = SHORT_LIMITS,
     extra: str = "",
 ) -> AsyncIterator[Fleet]:
     """A controller, `nodes`, and gates `g0`, `g1` ..."""
     if isinstance(nodes, int):
         nodes = {f"n{number}": CounterNode(f"n{number}") for number in range(nodes)}
-    stand = Fleet(path, nodes, grace_ms, bounds, told, limits)
-    stand.extra = extra
-    await stand.start()
+    env = Fleet(path, nodes, grace_ms, bounds, told, limits)
+    env.extra = extra
+    await env.start()
     try:
         for number in range(gates):
-            await stand.gate(f"g{number}")
-        yield stand
+            await env.gate(f"g{number}")
+        yield env
     finally:
-        await stand.stop()
+        await env.stop()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -12,7 +12,7 @@
 
 import pytest
 from parties import Party
-from support_gate import MS, QUICK, World, take_upgrade, until, world
+from support_gate import MS, SHORT_LIMITS, StandaloneGate, standalone_gate, take_upgrade, until
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, InvalidStatus
 from wsproto.events import BytesMessage
@@ -29,9 +29,9 @@
 )
 
 
-async def ask(stand: World, sent: bytes) -> str:
+async def exchange(env: StandaloneGate, sent: bytes) -> str:
     """Raw bytes to the gate; all that comes back until it ends the connection."""
-    reader, writer = await asyncio.open_connection(*stand.gate.address.split(":"))
+    reader, writer = await asyncio.open_connection(*env.gate.address.split(":"))
     writer.write(sent)
     try:
         return (await reader.read()).decode("latin-1")
@@ -40,35 +40,35 @@
 
 
 async def test_a_connection_is_tunnelled_and_closed_in_order_when_its_node_drains(tmp_path: Path) -> None:
-    async with world(tmp_path) as stand, connect(stand.url("/till?key=a")) as till:
+    async with standalone_gate(tmp_path) as env, connect(env.url("/till?key=a")) as till:
         await till.send("hello")
         assert await till.recv() == "hello"
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        stand.set(**{node: "DRAINING"})
+        node = next(name for name, node in env.nodes.items() if node.held)
+        env.set(**{node: "DRAINING"})
         with pytest.raises(ConnectionClosed):
             await till.recv()
         assert till.close_code == 1012 and "come-back-ms=" in (till.close_reason or "")
-        await until(lambda: stand.nodes[node].ends)
-        assert stand.nodes[node].ends[0].code != 1006
+        await until(lambda: env.nodes[node].ends)
+        assert env.nodes[node].ends[0].code != 1006
 
 
 async def test_a_movable_connection_moves_without_its_screens_notice(tmp_path: Path) -> None:
-    async with world(tmp_path) as stand, connect(stand.url("/board")) as board:
+    async with standalone_gate(tmp_path) as env, connect(env.url("/board")) as board:
         await board.send("one")
         assert await board.recv() == "one"
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        other = next(name for name in stand.nodes if name != node)
-        stand.set(**{node: "DRAINING"})
-        await until(lambda: stand.nodes[other].held and not stand.nodes[node].held)
+        node = next(name for name, node in env.nodes.items() if node.held)
+        other = next(name for name in env.nodes if name != node)
+        env.set(**{node: "DRAINING"})
+        await until(lambda: env.nodes[other].held and not env.nodes[node].held)
         await board.send("two")
         assert await board.recv() == "two"
-        assert stand.nodes[other].received == 1 and stand.nodes[node].ends[0].code == 1000
-        assert stand.gate.counters["moves.done"] == 1
+        assert env.nodes[other].received == 1 and env.nodes[node].ends[0].code == 1000
+        assert env.gate.counters["moves.done"] == 1
 
 
 @pytest.mark.parametrize("size", [0, 1, 125, 126, 65_535, 65_536, 1 << 20])
 async def test_messages_of_every_size_pass_both_ways(tmp_path: Path, size: int) -> None:
-    async with world(tmp_path, 1) as stand, connect(stand.url("/board"), max_size=None) as board:
+    async with standalone_gate(tmp_path, 1) as env, connect(env.url("/board"), max_size=None) as board:
         await board.send("x" * size)
         assert await board.recv() == "x" * size
         await board.send(["é" * size, b"".decode(), "end"])  # in fragments
@@ -78,9 +78,9 @@
 
 
 async def test_refusals_come_at_once_and_say_when_to_come_back(tmp_path: Path) -> None:
-    async with world(tmp_path, 1, bounds="connections: 2 new_per_s: 1000 burst: 100") as stand:
-        boards = [await connect(stand.url("/board")) for _ in range(2)]
-        answer = await ask(stand, UPGRADE)
+    async with standalone_gate(tmp_path, 1, bounds="connections: 2 new_per_s: 1000 burst: 100") as env:
+        boards = [await connect(env.url("/board")) for _ in range(2)]
+        answer = await exchange(env, UPGRADE)
         assert answer.startswith("HTTP/1.1 503") and "\r\nRetry-After: 1\r\n" in answer, answer
         for board in boards:
             await board.close()
@@ -89,9 +89,11 @@
 # peers that misbehave
 
 
-async def raw(stand: World, target: str = "/board") -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def raw(
+    env: StandaloneGate, target: str = "/board"
+) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A screen that stands, byte by byte in the test's hands."""
-    reader, writer = await asyncio.open_connection(*stand.gate.address.split(":"), limit=1 << 26)
+    reader, writer = await asyncio.open_connection(*env.gate.address.split(":"), limit=1 << 26)
     writer.write(UPGRADE.replace(b"/board", target.encode()))
     head = await reader.readuntil(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 101"), head
@@ -133,15 +135,15 @@
 async def test_junk_frames_are_closed_with_their_code_and_cost_only_themselves(
     tmp_path: Path, sent: bytes, code: int
 ) -> None:
-    async with world(tmp_path, 1) as stand, connect(stand.url("/board")) as other:
-        reader, writer = await raw(stand)
+    async with standalone_gate(tmp_path, 1) as env, connect(env.url("/board")) as other:
+        reader, writer = await raw(env)
         writer.write(sent)
         assert await closed_with(reader) == code
         writer.close()
         await other.send("still")
         assert await other.recv() == "still"
-        await until(lambda: len(stand.nodes["n0"].held) == 1)
-        assert all(end.code != 1006 for end in stand.nodes["n0"].ends)
+        await until(lambda: len(env.nodes["n0"].held) == 1)
+        assert all(end.code != 1006 for end in env.nodes["n0"].ends)
 
 
 @pytest.mark.parametrize(
@@ -161,22 +163,22 @@
     ],
 )
 async def test_strangers_are_answered_and_closed_in_time(tmp_path: Path, sent: bytes, status: str) -> None:
-    async with world(tmp_path, 1) as stand:
-        answer = await asyncio.wait_for(ask(stand, sent), 2)
+    async with standalone_gate(tmp_path, 1) as env:
+        answer = await asyncio.wait_for(exchange(env, sent), 2)
         assert answer.startswith(f"HTTP/1.1 {status}"), answer
-        assert not stand.nodes["n0"].came and not stand.gate.steering.coming
+        assert not env.nodes["n0"].came and not env.gate.steering.coming
 
 
 async def test_a_client_that_never_asks_is_closed_in_time_without_a_word(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand:
-        assert await asyncio.wait_for(ask(stand, b""), 2) == ""
-        assert stand.gate.counters["screens.never_asked"] == 1
-        assert not stand.nodes["n0"].came and not stand.gate.steering.coming
+    async with standalone_gate(tmp_path, 1) as env:
+        assert await asyncio.wait_for(exchange(env, b""), 2) == ""
+        assert env.gate.counters["screens.never_asked"] == 1
+        assert not env.nodes["n0"].came and not env.gate.steering.coming
 
 
 async def test_a_handshake_that_drips_is_ended_too(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand:
-        reader, writer = await asyncio.open_connection(*stand.gate.address.split(":"))
+    async with standalone_gate(tmp_path, 1) as env:
+        reader, writer = await asyncio.open_connection(*env.gate.address.split(":"))
         answered = asyncio.create_task(reader.read())
         for byte in UPGRADE:
             writer.write(bytes([byte]))
@@ -188,8 +190,10 @@
 
 
 async def test_a_screen_that_never_reads_is_ended_and_memory_stays_bounded(tmp_path: Path) -> None:
-    async with world(tmp_path, 1, replace(QUICK, buffer_bytes=64 << 10, ping_us=60_000 * MS)) as stand:
-        _, writer = await raw(stand)
+    async with standalone_gate(
+        tmp_path, 1, replace(SHORT_LIMITS, buffer_bytes=64 << 10, ping_us=60_000 * MS)
+    ) as env:
+        _, writer = await raw(env)
         writer.transport.pause_reading()
         payload = b"x" * 60_000
         for _ in range(400):  # echoes of 24 MB in all
@@ -197,13 +201,13 @@
             await asyncio.sleep(0)
             if writer.transport.get_write_buffer_size() > 1 << 20:
                 break
-        await until(lambda: stand.gate.counters["screens.stuck"])
-        await until(lambda: not stand.gate.tunnels)
+        await until(lambda: env.gate.counters["screens.stuck"])
+        await until(lambda: not env.gate.tunnels)
         writer.transport.abort()
 
 
 async def test_hundreds_of_thousands_of_messages_do_not_grow_memory(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand, connect(stand.url("/board"), compression=None) as board:
+    async with standalone_gate(tmp_path, 1) as env, connect(env.url("/board"), compression=None) as board:
 
         async def pass_on(count: int) -> None:
             for _ in range(count // 100):
@@ -222,24 +226,24 @@
 
 
 async def test_a_screen_that_is_gone_without_a_close_takes_its_nodes_connection_along(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand:
+    async with standalone_gate(tmp_path, 1) as env:
         for way in ("abort", "half"):
-            _, writer = await raw(stand)
-            await until(lambda: stand.nodes["n0"].held)
+            _, writer = await raw(env)
+            await until(lambda: env.nodes["n0"].held)
             if way == "abort":
                 writer.transport.abort()
             else:
                 writer.write_eof()
-            await until(lambda: not stand.nodes["n0"].held)
-            assert stand.nodes["n0"].ends[-1].code == 1001, way
+            await until(lambda: not env.nodes["n0"].held)
+            assert env.nodes["n0"].ends[-1].code == 1001, way
             writer.close()
 
 
 async def test_a_screen_that_answers_no_ping_is_ended(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand:
-        _, writer = await raw(stand)
-        await until(lambda: stand.gate.counters["screens.silent"])
-        await until(lambda: not stand.nodes["n0"].held)
+    async with standalone_gate(tmp_path, 1) as env:
+        _, writer = await raw(env)
+        await until(lambda: env.gate.counters["screens.silent"])
+        await until(lambda: not env.nodes["n0"].held)
         writer.close()
 
 
@@ -248,15 +252,15 @@
 
 async def test_a_node_that_dies_without_a_close(tmp_path: Path) -> None:
     """A movable connection with nothing unproven goes on elsewhere; a till is told to come back."""
-    async with world(tmp_path, 2) as stand:
-        board = await connect(stand.url("/board"))
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        other = next(name for name in stand.nodes if name != node)
-        owners = stand.gate.steering.tables.owners
+    async with standalone_gate(tmp_path, 2) as env:
+        board = await connect(env.url("/board"))
+        node = next(name for name, node in env.nodes.items() if node.held)
+        other = next(name for name in env.nodes if name != node)
+        owners = env.gate.steering.tables.owners
         key = next(f"k{n}" for n in range(100) if owners[slice_of(f"k{n}", 12)] == node)
-        till = await connect(stand.url(f"/till?key={key}"))
-        stand.nodes[node].die()
-        await until(lambda: stand.nodes[other].held)
+        till = await connect(env.url(f"/till?key={key}"))
+        env.nodes[node].die()
+        await until(lambda: env.nodes[other].held)
         await board.send("on")
         assert await board.recv() == "on"
         with pytest.raises(ConnectionClosed):
@@ -266,50 +270,50 @@
 
 
 async def test_what_a_dead_node_may_have_read_is_never_sent_to_another(tmp_path: Path) -> None:
-    async with world(tmp_path, 2) as stand:
-        board = await connect(stand.url("/board"))
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        other = next(name for name in stand.nodes if name != node)
-        stand.nodes[node].heard = lambda _: stand.nodes[node].die()  # reads it, and dies
+    async with standalone_gate(tmp_path, 2) as env:
+        board = await connect(env.url("/board"))
+        node = next(name for name, node in env.nodes.items() if node.held)
+        other = next(name for name in env.nodes if name != node)
+        env.nodes[node].heard = lambda _: env.nodes[node].die()  # reads it, and dies
         await board.send("once")
         with pytest.raises(ConnectionClosed):
             await board.recv()
         assert board.close_code == 1012
-        assert stand.nodes[node].received + stand.nodes[other].received == 1
+        assert env.nodes[node].received + env.nodes[other].received == 1
 
 
 async def test_a_node_that_says_it_restarts_is_left_by_movable_connections(tmp_path: Path) -> None:
-    async with world(tmp_path, 2) as stand:
-        board = await connect(stand.url("/board"))
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        other = next(name for name in stand.nodes if name != node)
-        await next(iter(stand.nodes[node].held)).close(1012, "restart")
-        await until(lambda: stand.nodes[other].held)
+    async with standalone_gate(tmp_path, 2) as env:
+        board = await connect(env.url("/board"))
+        node = next(name for name, node in env.nodes.items() if node.held)
+        other = next(name for name in env.nodes if name != node)
+        await next(iter(env.nodes[node].held)).close(1012, "restart")
+        await until(lambda: env.nodes[other].held)
         await board.send("on")
         assert await board.recv() == "on"
-        await next(iter(stand.nodes[other].held)).close(4001, "closed for today")
+        await next(iter(env.nodes[other].held)).close(4001, "closed for today")
         with pytest.raises(ConnectionClosed):
             await board.recv()
         assert (board.close_code, board.close_reason) == (4001, "closed for today")
 
 
 async def test_a_node_that_refuses_is_tried_elsewhere_only_by_a_screen_without_a_key(tmp_path: Path) -> None:
-    async with world(tmp_path, 2) as stand:
-        stand.nodes["n0"].refuses = HTTPStatus.SERVICE_UNAVAILABLE
-        boards = [await connect(stand.url("/board")) for _ in range(6)]
-        assert len(stand.nodes["n1"].held) == 6
+    async with standalone_gate(tmp_path, 2) as env:
+        env.nodes["n0"].refuses = HTTPStatus.SERVICE_UNAVAILABLE
+        boards = [await connect(env.url("/board")) for _ in range(6)]
+        assert len(env.nodes["n1"].held) == 6
         statuses = set()
         for number in range(12):
             try:
-                boards.append(await connect(stand.url(f"/till?key={number}")))
+                boards.append(await connect(env.url(f"/till?key={number}")))
             except InvalidStatus as error:
                 statuses.add(error.response.status_code)
                 assert int(error.response.headers["Retry-After"]) >= 2  # the node's word counts too
-        assert statuses == {503} and not stand.nodes["n0"].held
-        stand.nodes["n0"].refuses = HTTPStatus.FORBIDDEN  # final: no other node is asked
+        assert statuses == {503} and not env.nodes["n0"].held
+        env.nodes["n0"].refuses = HTTPStatus.FORBIDDEN  # final: no other node is asked
         with pytest.raises(InvalidStatus) as caught:
             for _ in range(30):
-                boards.append(await connect(stand.url("/board")))
+                boards.append(await connect(env.url("/board")))
         assert caught.value.response.status_code == 403
         for board in boards:
             await board.close()
@@ -340,10 +344,10 @@
             await asyncio.sleep(5)  # never answers
         writer.write(answer or b"")
 
-    async with Party(meet) as node, world(tmp_path, nodes={"n0": at(node)}) as stand:
-        told = await asyncio.wait_for(ask(stand, UPGRADE), 2)
+    async with Party(meet) as node, standalone_gate(tmp_path, nodes={"n0": at(node)}) as env:
+        told = await asyncio.wait_for(exchange(env, UPGRADE), 2)
         assert told.startswith("HTTP/1.1 503") and "Retry-After" in told
-        assert not stand.gate.steering.coming
+        assert not env.gate.steering.coming
 
 
 async def test_a_node_that_sends_junk_or_falls_silent_is_left(tmp_path: Path) -> None:
@@ -362,8 +366,8 @@
 
         async with (
             Party(meet) as node,
-            world(tmp_path, nodes={"n0": at(node)}) as stand,
-            connect(stand.url("/till?key=a")) as till,
+            standalone_gate(tmp_path, nodes={"n0": at(node)}) as env,
+            connect(env.url("/till?key=a")) as till,
         ):
             with pytest.raises(ConnectionClosed):
                 await asyncio.wait_for(till.recv(), 5)
@@ -392,7 +396,7 @@
     while writer.transport.get_write_buffer_size() == 0:  # until the kernel takes no more
         side.send(BytesMessage(data=bytes(100_000)))
         sent += 100_000
-    side.cut()
+    side.reset()
     await asyncio.sleep(0.05)
     go_on.set()
     await until(lambda: got.endswith(b"end"))
@@ -406,7 +410,7 @@
 @pytest.mark.time_limit(180)
 async def test_nothing_is_lost_or_doubled_in_moves_under_a_stream_of_messages(tmp_path: Path) -> None:
     """Both ways at once: echoes of numbered messages come back in order, through four moves."""
-    async with world(tmp_path, 2, grace_ms=1000) as stand, connect(stand.url("/board")) as board:
+    async with standalone_gate(tmp_path, 2, grace_ms=1000) as env, connect(env.url("/board")) as board:
         got: list[str] = []
 
         async def hear() -> None:
@@ -418,37 +422,40 @@
         # Four moves; on a slow machine, where few messages are sent during each, as many as are needed.
         while moves < 4 or (sent <= 20 and moves < 40):
             moves += 1
-            await until(lambda: sum(bool(node.held) for node in stand.nodes.values()) == 1)
-            node = next(name for name, node in stand.nodes.items() if node.held)
-            moved = stand.gate.counters["moves.done"]
-            stand.set(**{node: "DRAINING"})
-            while stand.gate.counters["moves.done"] == moved:
+            await until(lambda: sum(bool(node.held) for node in env.nodes.values()) == 1)
+            node = next(name for name, node in env.nodes.items() if node.held)
+            moved = env.gate.counters["moves.done"]
+            env.set(**{node: "DRAINING"})
+            while env.gate.counters["moves.done"] == moved:
                 await board.send(f"{sent}" + "." * (sent % 3000))
                 sent += 1
                 await asyncio.sleep(0.002)
-            stand.set(**{node: "READY"})
+            env.set(**{node: "READY"})
         await until(lambda: len(got) == sent)
         assert [int(message.rstrip(".")) for message in got] == list(range(sent)) and sent > 20
         hearing.cancel()
 
 
 async def test_a_message_in_fragments_ends_where_it_began(tmp_path: Path) -> None:
-    async with world(tmp_path, 2, grace_ms=2000) as stand:
-        _, writer = await raw(stand)
+    async with standalone_gate(tmp_path, 2, grace_ms=2000) as env:
+        _, writer = await raw(env)
         writer.write(frame(0x01, b"one "))  # a fragment; the drain begins before its end
-        node = next(name for name, node in stand.nodes.items() if node.held)
-        await until(lambda: any(held.inside for held in stand.gate.steering.book))
-        stand.set(**{node: "DRAINING"})
+        node = next(name for name, node in env.nodes.items() if node.held)
+        await until(lambda: any(held.inside for held in env.gate.steering.book))
+        env.set(**{node: "DRAINING"})
         await asyncio.sleep(0.3)
         writer.write(frame(0x80, b"message"))
-        await until(lambda: stand.nodes[node].received == 1)
-        await until(lambda: not stand.nodes[node].held)
-        assert stand.gate.counters["moves.done"] == 1
+        await until(lambda: env.nodes[node].received == 1)
+        await until(lambda: not env.nodes[node].held)
+        assert env.gate.counters["moves.done"] == 1
         writer.close()
 
 
 async def test_compression_is_negotiated_away_on_both_sides(tmp_path: Path) -> None:
-    async with world(tmp_path, 1) as stand, connect(stand.url("/board"), compression="deflate") as board:
+    async with (
+        standalone_gate(tmp_path, 1) as env,
+        connect(env.url("/board"), compression="deflate") as board,
+    ):
         assert board.protocol.extensions == []
         await board.send("x" * 10_000)
         assert await board.recv() == "x" * 10_000
@@ -457,8 +464,11 @@
 async def test_a_message_over_the_bound_is_closed_with_1009_and_a_large_one_streams_through(
     tmp_path: Path,
 ) -> None:
-    limits = replace(QUICK, message_bytes=300_000)
-    async with world(tmp_path, 1, limits) as stand, connect(stand.url("/board"), max_size=None) as board:
+    limits = replace(SHORT_LIMITS, message_bytes=300_000)
+    async with (
+        standalone_gate(tmp_path, 1, limits) as env,
+        connect(env.url("/board"), max_size=None) as board,
+    ):
         await board.send("x" * 300_000)
         assert len(await board.recv()) == 300_000
         await board.send("x" * 300_001)
@@ -468,25 +478,23 @@
 
 
 async def test_a_gate_that_ends_closes_everyone_in_order(tmp_path: Path) -> None:
-    async with world(tmp_path, 2) as stand:
-        boards = [await connect(stand.url("/board")) for _ in range(20)]
-        stand.gate.stop()
+    async with standalone_gate(tmp_path, 2) as env:
+        boards = [await connect(env.url("/board")) for _ in range(20)]
+        env.gate.stop()
         for board in boards:
             with pytest.raises(ConnectionClosed):
                 await board.recv()
             assert board.close_code == 1001 and "come-back-ms=" in (board.close_reason or "")
-        await until(lambda: not any(node.held for node in stand.nodes.values()))
-        assert all(end.code != 1006 for node in stand.nodes.values() for end in node.ends)
+        await until(lambda: not any(node.held for node in env.nodes.values()))
+        assert all(end.code != 1006 for node in env.nodes.values() for end in node.ends)
 
 
 async def test_a_bad_operator_file_changes_nothing(tmp_path: Path) -> None:
-    async with world(tmp_path, 2) as stand, connect(stand.url("/board")) as board:
-        before = dict(stand.gate.steering.tables.owners)
-        stand.file.write_text(
-            stand.file.read_text().replace("state: READY", "state: DRAINING", 1) + "\nnode {"
-        )
-        stand.gate.read_again()
-        assert stand.gate.counters["gate.reloads_refused"] == 1
-        assert stand.gate.steering.tables.owners == before and not stand.gate.steering.plan.ceilings
+    async with standalone_gate(tmp_path, 2) as env, connect(env.url("/board")) as board:
+        before = dict(env.gate.steering.tables.owners)
+        env.file.write_text(env.file.read_text().replace("state: READY", "state: DRAINING", 1) + "\nnode {")
+        env.gate.reload()
+        assert env.gate.counters["gate.reloads_refused"] == 1
+        assert env.gate.steering.tables.owners == before and not env.gate.steering.plan.ceilings
         await board.send("on")
         assert await board.recv() == "on"
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -10,7 +10,7 @@
 
 from faulty_process import SHORT, Call, Faults, free_address, names, process
 from parties import Party
-from support_gate import QUICK, world
+from support_gate import SHORT_LIMITS, standalone_gate
 
 UPGRADE = (
     b"GET /board HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
@@ -80,8 +80,10 @@
     tmp_path: Path,
 ) -> None:
     # It was reset.
-    async with world(tmp_path, 1, replace(QUICK, handshakes_at_once=1, handshake_us=5_000_000)) as stand:
-        host, _, port = stand.gate.address.rpartition(":")
+    async with standalone_gate(
+        tmp_path, 1, replace(SHORT_LIMITS, handshakes_at_once=1, handshake_us=5_000_000)
+    ) as env:
+        host, _, port = env.gate.address.rpartition(":")
         _, first = await asyncio.open_connection(host, int(port))
         await asyncio.sleep(0.1)
         reader, second = await asyncio.open_connection(host, int(port))
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -43,9 +43,9 @@
     one.port, one.read_before = 40_000, 0
     place = RECORD.size * len(Call) + PORT_COUNT.size * one.port
     for read, status, breaches in (
-        (len(one.ask) - 1, b"", 0),
-        (len(one.ask), GRANTED, 0),
-        (len(one.ask), b"", 1),
+        (len(one.request) - 1, b"", 0),
+        (len(one.request), GRANTED, 0),
+        (len(one.request), b"", 1),
     ):
         PORT_COUNT.pack_into(one.day.running.faults.records, place, read)
         one.status = status
--- a/tests/test_stream_timers.py
+++ b/tests/test_stream_timers.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from support_gate import QUICK, alone, fleet, until
+from support_gate import SHORT_LIMITS, fleet, standalone_file, until
 
 from lapispass.gate import wire
 from lapispass.gate.service import Gate
@@ -28,27 +28,27 @@
 
 async def test_a_gates_stream_outlives_a_process_that_stood_still(tmp_path: Path) -> None:
     # The timer won over the beat that had come: the gate joined anew, and its lease was counted.
-    async with fleet(tmp_path, 2) as stand:
-        uplink, counters = stand.gates["g0"].uplink, stand.service.counters
+    async with fleet(tmp_path, 2) as env:
+        uplink, counters = env.gates["g0"].uplink, env.service.counters
         assert uplink is not None and uplink.writer is not None
         for _ in range(3):
             await asyncio.sleep(0.2)
             uplink.writer.write(wire.encode_line(wire.Heartbeat(-1)))
-            stand.gate_server.gates["g0"].writer.write(wire.encode_line(wire.Heartbeat(-1)))
-            time.sleep(stand.gate_server.limits.quiet_us / 1e6 + 0.1)  # noqa: ASYNC251
+            env.gate_server.gates["g0"].writer.write(wire.encode_line(wire.Heartbeat(-1)))
+            time.sleep(env.gate_server.limits.idle_us / 1e6 + 0.1)  # noqa: ASYNC251
         await asyncio.sleep(0.5)
         assert counters["gates.joined"] == 1 and counters["gates.left"] == 0
 
 
 @asynccontextmanager
-async def world(folder: Path, nodes: dict[str, str]) -> AsyncIterator[Gate]:
+async def standalone_gate(folder: Path, nodes: dict[str, str]) -> AsyncIterator[Gate]:
     """A gate that stands alone, with nodes at these addresses."""
     file = folder / "operator.textproto"
-    file.write_text(alone({name: (address, "READY") for name, address in nodes.items()}))
-    gate = Gate(operator.read(file), 1, QUICK)
+    file.write_text(standalone_file({name: (address, "READY") for name, address in nodes.items()}))
+    gate = Gate(operator.read(file), 1, SHORT_LIMITS)
     running = asyncio.create_task(gate.run())
     await until(lambda: gate.address and gate.steering.tables.nodes)
-    await asyncio.sleep(2 * QUICK.tick_us / 1e6)
+    await asyncio.sleep(2 * SHORT_LIMITS.tick_us / 1e6)
     try:
         yield gate
     finally:
@@ -89,11 +89,11 @@
         refusal = b"HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"
         thread = threading.Thread(target=answer_slowly, args=(listener, 0.1, refusal))
         thread.start()
-        async with world(tmp_path, {"n0": "{}:{}".format(*listener.getsockname())}) as gate:
+        async with standalone_gate(tmp_path, {"n0": "{}:{}".format(*listener.getsockname())}) as gate:
             reader, writer = await asyncio.open_connection(*gate.address.split(":"))
             writer.write(UPGRADE)
             await asyncio.sleep(0.05)
-            time.sleep(QUICK.upgrade_us / 1e6 + 0.2)  # noqa: ASYNC251
+            time.sleep(SHORT_LIMITS.upgrade_us / 1e6 + 0.2)  # noqa: ASYNC251
             said = await asyncio.wait_for(reader.read(), 3)
             writer.transport.abort()
             await asyncio.to_thread(thread.join)
@@ -102,12 +102,12 @@
 
 async def test_a_head_that_has_come_is_read_though_its_time_is_over(tmp_path: Path) -> None:
     # It was told 408, though all of it had come.
-    async with world(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
+    async with standalone_gate(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
         reader, writer = await asyncio.open_connection(*gate.address.split(":"))
         writer.write(UPGRADE[:40])
-        await asyncio.sleep(QUICK.handshake_us / 2e6)
+        await asyncio.sleep(SHORT_LIMITS.handshake_us / 2e6)
         writer.write(UPGRADE[40:])
-        time.sleep(QUICK.handshake_us / 1e6)  # noqa: ASYNC251
+        time.sleep(SHORT_LIMITS.handshake_us / 1e6)  # noqa: ASYNC251
         said = await asyncio.wait_for(reader.read(), 3)
         writer.transport.abort()
         assert said.startswith(b"HTTP/1.1 503"), said  # its node refuses connections
@@ -115,7 +115,7 @@
 
 async def test_an_upgrade_that_waits_to_be_accepted_is_refused_before_the_end(tmp_path: Path) -> None:
     # It was reset with the listening socket.
-    async with world(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
+    async with standalone_gate(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
         address = gate.address.split(":")
         clients = [socket.create_connection((address[0], int(address[1]))) for _ in range(900)]
         for client in clients[:-1]:
--- a/tests/test_uplink.py
+++ b/tests/test_uplink.py
@@ -10,7 +10,7 @@
 
 import pytest
 from parties import Party, play
-from support_gate import CLASSES, QUICK, until
+from support_gate import CLASSES, SHORT_LIMITS, until
 
 from lapispass.gate import wire
 from lapispass.gate.service import Gate
@@ -28,7 +28,7 @@
         f'{CLASSES} gate {{ name: "g0" listen: "127.0.0.1:0" controller: "{controller}" '
         f'slices: 12 secret_file: "key" }}'
     )
-    gate = Gate(operator.read(file), 1, QUICK)
+    gate = Gate(operator.read(file), 1, SHORT_LIMITS)
     running = asyncio.create_task(gate.run())
     try:
         yield gate
@@ -45,7 +45,7 @@
     assert isinstance(hello, wire.Hello)
     await asyncio.sleep(pause_s)
     writer.write(
-        wire.encode_line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), QUICK.lease_us))
+        wire.encode_line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), SHORT_LIMITS.lease_us))
     )
     await reader.read()
 
@@ -55,7 +55,7 @@
     """Guards against a time for each message: a slow controller held a gate for twice `connect_us`."""
 
     async def test() -> None:
-        pause_s = share * QUICK.connect_us / 1e6
+        pause_s = share * SHORT_LIMITS.connect_us / 1e6
         async with (
             Party(partial(answer_slowly, pause_s)) as controller,
             gate_at(controller.address, tmp_path) as gate,
