--- a/lapispass/gate/__init__.py
+++ b/lapispass/gate/__init__.py
@@ -1,2 +1,2 @@
-"""The router that holds WebSocket connections: codec and I/O; its decisions stand in
-`lapispass/core/steering.py`."""
+"""The gate, a router that holds WebSocket connections. This package has the codec and the I/O; the decisions
+are made in `lapispass/core/steering.py`."""
--- a/lapispass/gate/evented_reader.py
+++ b/lapispass/gate/evented_reader.py
@@ -1,4 +1,5 @@
-"""Streams that wake one task: a tunnel listens to both of its ends, and to orders, in a single wait."""
+"""Streams that set a shared event, so that the task of a tunnel waits for both of its ends and for orders in
+a single wait."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 
 
 class EventedReader(Reader):
-    """A stream reader that sets an event when there is something to read, or its peer has ended."""
+    """A stream reader that sets an event when there is input or its peer has ended the connection."""
 
     def __init__(self, limit: int, wake: asyncio.Event) -> None:
         super().__init__(limit=limit, loop=asyncio.get_running_loop())
@@ -32,7 +33,7 @@
         self.wake.set()
 
     async def read(self, n: int = -1) -> bytes:
-        """What has come, without waiting where something has; nothing at the end, also after a reset."""
+        """Reads input, without a wait if there is some. Returns nothing at the end, also after a reset."""
         try:
             return await super().read(n)
         except OSError:
@@ -41,7 +42,7 @@
 
 
 class EventedProtocol(asyncio.StreamReaderProtocol):
-    """Wakes the tunnel too when its unsent bytes have gone out, or the connection is lost."""
+    """A protocol that also sets the event when its unsent bytes have been sent or the connection is lost."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
 async def connect(
     address: str, limit: int, wake: asyncio.Event
 ) -> tuple[EventedReader, asyncio.StreamWriter]:
-    """A connection whose reader sets `wake`."""
+    """Opens a connection whose reader sets `wake`."""
     loop = asyncio.get_running_loop()
     reader = EventedReader(limit, wake)
     protocol = EventedProtocol(reader)
--- a/lapispass/gate/frames.py
+++ b/lapispass/gate/frames.py
@@ -1,5 +1,5 @@
-"""One end of a tunnel: wsproto's frames over a stream, with what is known of the peer's reading and
-answering."""
+"""One end of a tunnel: WebSocket frames (wsproto) over a stream. Each end also tracks whether its peer reads
+and answers pings."""
 
 from __future__ import annotations
 
@@ -17,18 +17,19 @@
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.limits import Limits
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER with no time: what is unsent is dropped, the peer gets a reset
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER of zero: unsent bytes are dropped and the peer gets a reset
 
 
 class PeerFailure(StrEnum):
-    """Why a peer counts as gone. The names are those of the counters."""
+    """Why a peer counts as gone. The member names appear in the counters' names."""
 
     STUCK = "never reads"
     SILENT = "answers no ping"
 
 
 class Side:
-    """A WebSocket connection to a client or to a node; named 'screen' or 'node', as in the counters."""
+    """A WebSocket connection to a client or to a node. Its name is 'screen' (a client) or 'node', as in the
+    counters."""
 
     __slots__ = (
         "acked_token",
@@ -59,18 +60,19 @@
         self.name, self.reader, self.writer, self.buffer_bytes = name, reader, writer, buffer_bytes
         kind = ConnectionType.SERVER if name == "screen" else ConnectionType.CLIENT
         self.state = Connection(kind, trailing_data=early)
-        self.mid_message = False  # in the middle of a message that it sends
-        self.message_size = 0  # of that message
+        self.mid_message = False  # the peer is in the middle of a message
+        self.message_size = 0  # bytes of that message so far
         self.sent_close = self.got_close = False
-        self.pinged_at = 0  # a ping of ours is out since then
+        self.pinged_at = 0  # when the oldest unanswered ping was sent; 0 if there is none
         self.last_read_at = now
-        self.full_since = 0  # its unsent bytes have been over the bound since then
+        self.full_since = 0  # when its unsent bytes exceeded the bound; 0 if they do not
         self.token = 0
         self.acked_token = 0
         writer.transport.set_write_buffer_limits(high=buffer_bytes, low=buffer_bytes // 2)
 
     def next_event(self) -> Event | None:
-        """The next event of what has been read; a junk frame shows as a `CloseConnection` with its code."""
+        """The next event in the bytes fed so far. An invalid frame gives a `CloseConnection` with its error
+        code."""
         if self.got_close:
             return None
         event = next(iter(self.state.events()), None)
@@ -79,15 +81,15 @@
         return event
 
     def feed(self, piece: bytes, now: int) -> None:
-        """What was read; behind a close nothing counts."""
+        """Takes in bytes that were read. Bytes after a close frame are ignored."""
         self.last_read_at = now
         if not self.got_close and self.state.state in (ConnectionState.OPEN, ConnectionState.LOCAL_CLOSING):
             self.state.receive_data(piece)
 
-    def count_fragment(self, event: Message[Any], most: int) -> bool:
-        """Counts a piece of a message that it sends; False where the message is too long by now."""
+    def count_fragment(self, event: Message[Any], limit: int) -> bool:
+        """Counts a fragment of a message from the peer. False where the message is now too long."""
         self.message_size += len(event.data)
-        if self.message_size > most:
+        if self.message_size > limit:
             return False
         self.mid_message = not event.message_finished
         if event.message_finished:
@@ -95,7 +97,8 @@
         return True
 
     def send(self, event: Event) -> bool:
-        """Whether it could be sent; nothing can behind a close, or into a connection that is lost."""
+        """Sends an event and says whether that was possible. It is not after a close frame or on a lost
+        connection."""
         if self.sent_close or self.writer.transport.is_closing():
             return False
         try:
@@ -107,25 +110,27 @@
         return True
 
     def forward(self, event: Message[Any]) -> bool:
-        """A message, or a piece of one, from the other side. An empty piece in the middle is left out."""
+        """Forwards a message or a fragment from the other side. An empty fragment in the middle is left
+        out."""
         if not event.data and not event.message_finished:
             return True
         return self.send(Message(data=event.data, message_finished=event.message_finished))
 
     def close(self, code: int, reason: str = "") -> bool:
-        """A close frame; its reason is cut to the 123 bytes that fit."""
+        """Sends a close frame. Its reason is cut to 120 characters; a close frame has room for 123 bytes."""
         return self.send(CloseConnection(code=code, reason=reason[:120] or None))
 
     def ping(self, now: int) -> int:
-        """A ping; its token, which comes back once the peer has read all that was sent before."""
+        """Sends a ping and returns its token. The token comes back once the peer has read everything sent
+        before the ping."""
         self.token += 1
         if self.send(Ping(payload=b"%d" % self.token)) and not self.pinged_at:
             self.pinged_at = now
         return self.token
 
     def on_pong(self, event: Pong) -> None:
-        """Any answer is a sign of life; the highest token answered counts, since a peer may answer only the
-        last."""
+        """Any pong shows that the peer is alive. The highest token answered counts, since a peer may answer
+        only the last of several pings (RFC 6455 5.5.3)."""
         self.pinged_at = 0
         text = bytes(event.payload)
         if text.isdigit() and len(text) < 10 and int(text) <= self.token:
@@ -133,18 +138,19 @@
 
     @property
     def full(self) -> bool:
-        """Whether so much is unsent that the other side is read no further."""
+        """Whether so much is unsent that the other side must not be read now."""
         return self.writer.transport.get_write_buffer_size() > self.buffer_bytes // 2
 
     def update_full_since(self, now: int) -> None:
-        """Notes since when it has not been reading."""
+        """Notes since when the peer has not been reading."""
         if not self.full:
             self.full_since = 0
         elif not self.full_since:
             self.full_since = now
 
     def check(self, now: int, limits: Limits) -> PeerFailure | None:
-        """Why the peer counts as gone; one that has been silent for a while is sent a ping."""
+        """The reason why the peer counts as gone, or None. A peer that has been silent for `ping_us` is sent
+        a ping."""
         self.update_full_since(now)
         if self.full_since and now - self.full_since > limits.stuck_us:
             return PeerFailure.STUCK
@@ -155,29 +161,30 @@
         return None
 
     def next_due(self, limits: Limits) -> int:
-        """When `check` has something to do without anything coming."""
+        """The time at which `check` has something to do even if nothing is received."""
         ping_at = self.pinged_at + limits.pong_us if self.pinged_at else self.last_read_at + limits.ping_us
         stuck_at = self.full_since + limits.stuck_us if self.full_since else NEVER
         return min(ping_at, stuck_at)
 
     @property
     def ended(self) -> bool:
-        """Ended by the peer, or broken, and all that came has been read."""
+        """The peer has ended the connection, or it broke, and all input has been read."""
         return self.reader.ended and not self.reader.unread
 
     def reset(self) -> None:
-        """Ends it so that nothing more reaches the peer: unsent bytes are dropped here and in the kernel."""
-        opened: socket.socket | None = self.writer.get_extra_info("socket")
-        if opened is not None and not self.writer.transport.is_closing():
+        """Ends the connection so that nothing more reaches the peer: unsent bytes are dropped here and in the
+        kernel."""
+        raw_socket: socket.socket | None = self.writer.get_extra_info("socket")
+        if raw_socket is not None and not self.writer.transport.is_closing():
             try:
-                opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             except OSError:
                 pass
         self.writer.transport.abort()
 
     def close_after_flush(self, timeout_s: float) -> None:
-        """Ends it after what is unsent has gone out; a peer that does not read is not waited for longer
-        than that."""
+        """Ends the connection after its unsent bytes have been sent. If the peer does not read, it is aborted
+        after `timeout_s`."""
         transport = self.writer.transport
         if not transport.is_closing():
             transport.close()
--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -1,5 +1,5 @@
-"""The controller's side of the channel to gates: each joins the module as a proxy of its own, and follows
-its plan."""
+"""The controller's side of the channel to gates. Each gate joins the controller as a proxy of its own and is
+sent a plan for the connections it holds."""
 
 from __future__ import annotations
 
@@ -25,60 +25,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What gates may cost the controller; times in microseconds."""
+    """Bounds on the resources that gates may use at the controller. Times are in microseconds."""
 
     line_bytes: int = 4 << 20
-    unsent_bytes: int = 8 << 20  # to a gate that does not read; it is cut, and joins anew with what stands
+    unsent_bytes: int = 8 << 20  # to a gate that does not read; above this it is cut and has to join anew
     connections: int = 256
-    at_once: int = 32  # accepted at once
+    at_once: int = 32  # connections accepted in one pass
     join_us: int = 2_000_000
-    idle_us: int = 1_500_000  # a gate beats every 0.3 s
+    idle_us: int = 1_500_000  # a gate sends a heartbeat every 0.3 s
     evaluation_us: int = 100_000
-    late_us: int = 100_000  # a process later than this stood still, and reads what waits first
+    late_us: int = (
+        100_000  # a timer later than this means that the process was stalled: it reads its input first
+    )
     log_every_us: int = 1_000_000
 
 
 class JoinedGate:
-    """A gate whose stream stands."""
+    """A gate that has joined, and its connection."""
 
     def __init__(self, name: str, number: int, writer: asyncio.StreamWriter) -> None:
         self.name, self.number, self.writer = name, number, writer
 
 
 class GateServer:
-    """Listens for gates beside a `Service`; hands their news to its module, and its orders to them."""
+    """Listens for gates beside a `Service`. It passes their reports to the service's controller, and the
+    controller's table changes and plans to the gates."""
 
     def __init__(self, service: Service, source: Source, limits: Limits | None = None) -> None:
-        told = source.told
-        if not told.HasField("gates"):
-            raise BadFile([source.at("gates", "missing: the file tells no listener for gates")])
-        self.service, self.settings, self.limits = service, told.gates, limits or Limits()
-        self.secret = operator.secret(told.gates.secret_file, source, "gates.secret_file")
+        settings = source.told
+        if not settings.HasField("gates"):
+            raise BadFile([source.at("gates", "missing: the file has no listener for gates")])
+        self.service, self.settings, self.limits = service, settings.gates, limits or Limits()
+        self.secret = operator.secret(settings.gates.secret_file, source, "gates.secret_file")
         deployment = service.launch.told
-        bounds = operator.bounds(told)
-        if not told.nodes.HasField("cold_ms"):
+        bounds = operator.bounds(settings)
+        if not settings.nodes.HasField("cold_ms"):
             bounds = bounds._replace(cold_us=deployment.cold_us)
-        if not told.nodes.HasField("cold_share"):
+        if not settings.nodes.HasField("cold_share"):
             bounds = bounds._replace(cold_share=max(0.01, deployment.cold_share))
         self.numbers = {
-            name: deployment.proxies - len(told.gates.name) + place
-            for place, name in enumerate(told.gates.name)
+            name: deployment.proxies - len(settings.gates.name) + index
+            for index, name in enumerate(settings.gates.name)
         }
-        self.keeper = Keeper(operator.classes(told), bounds, operator.drain_terms(told), service.clock.now())
+        self.keeper = Keeper(
+            operator.classes(settings), bounds, operator.drain_terms(settings), service.clock.now()
+        )
         self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
         self.gates: dict[str, JoinedGate] = {}
         self.last_boots: dict[
             str, tuple[str, int]
-        ] = {}  # name: the process that had it last, and when it left
+        ] = {}  # name: boot id of its last process, and when that left
         self.addresses: dict[str, tables.Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.log, self.counters = Part("gates", self.limits.log_every_us), service.counters
         self.address = ""
 
-    # beside the service's turns
+    # following the service's turns
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
-        """A turn has been taken: its changes and its mark go to every gate, whole, in order."""
+        """Called after each turn of the controller: sends its table changes and its barrier to every gate,
+        as a whole and in order."""
         if any(isinstance(event, interface.Listed) for event in events):
             self.update_addresses()
         changes, mark = self.picture.turn(events, orders, self.addresses)
@@ -89,7 +95,7 @@
                 self.send(gate, message)
 
     def update_addresses(self) -> None:
-        """Where nodes are; zones come with how the module sees them."""
+        """Reads the nodes' addresses from the registry and their zones from the controller."""
         zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
         self.addresses = {
             str(node): tables.Address(address, zones.get(str(node), ""))
@@ -97,19 +103,20 @@
         }
 
     def send(self, gate: JoinedGate, message: bytes) -> None:
-        """Guards memory against a gate that does not read: it is cut, and joins anew with what stands."""
+        """Sends a message. To bound memory, a gate that does not read is disconnected; it is sent the current
+        tables when it joins anew."""
         transport = gate.writer.transport
         if transport.get_write_buffer_size() > self.limits.unsent_bytes:
             self.counters["gates.cut"] += 1
-            self.log.rate_limited("gate does not read", gate=gate.name)
+            self.log.rate_limited("gate does not read: disconnected", gate=gate.name)
             transport.abort()
         elif not transport.is_closing():
             gate.writer.write(message)
 
-    # its own life
+    # run and serve
 
     async def run(self) -> None:
-        """Listens, and looks after plans."""
+        """Listens, and evaluates the nodes at a fixed interval."""
         listener = await listener_in_time(self.settings.listen, self.limits.connections)
         server = Acceptor(
             listener,
@@ -133,7 +140,8 @@
                 task.cancel()
 
     def evaluate(self) -> None:
-        """How the module sees the nodes, what gates hold there, and what follows."""
+        """Evaluates the nodes as the controller sees them and what the gates hold there. Sends the plans that
+        follow, and reports the load to the controller."""
         now = self.service.clock.now()
         self.keeper.see(
             now,
@@ -164,7 +172,7 @@
             self.send(gate, wire.encode_line(wire.plan_message(plan, now)))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The life of a gate's stream."""
+        """Serves the connection of one gate."""
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -180,12 +188,16 @@
             why = f"{type(error).__name__} {error}"[:200]
             if gate is None:
                 self.counters["gates.turned_away"] += 1
-                self.log.rate_limited("stranger turned away", peer=writer.get_extra_info("peername"), why=why)
+                self.log.rate_limited(
+                    "unidentified connection rejected", peer=writer.get_extra_info("peername"), why=why
+                )
         except asyncio.CancelledError:
-            why = "the controller ends"  # in order; asyncio would log a trace of a task that was cancelled
-        except Exception:  # a fault of our own costs this stream, not the controller
+            why = (
+                "the controller is stopping"  # an orderly end; asyncio would log a trace of a cancelled task
+            )
+        except Exception:  # an internal error ends this connection, not the controller
             self.counters["gates.faults"] += 1
-            self.log.failed("gate's stream failed")
+            self.log.failed("gate connection failed")
         finally:
             self.tasks.discard(task)
             if gate is None:
@@ -195,11 +207,12 @@
                 writer.transport.abort()
 
     async def receive(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromGate:
-        """The next message."""
+        """The next message from a gate."""
         return wire.GATE_DECODER.decode(await read_line(reader, wait_us, self.limits.late_us))
 
     async def welcome(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> JoinedGate:
-        """Challenge, hello, and what stands: only the differences are sent."""
+        """Runs the handshake (challenge, hello, welcome), then sends the table entries in which the gate
+        differs."""
         nonce = secrets.token_hex(16)
         writer.write(wire.encode_line(wire.Challenge(nonce)))
         hello = await self.receive(reader, self.limits.join_us)
@@ -241,8 +254,9 @@
         return gate
 
     def name_conflict(self, name: str, boot: str) -> str:
-        """Guards rule 2: another process under the same name has no say until the one before can write no
-        more."""
+        """The reason to refuse a process because another one has its name; empty if there is none. By rule 2
+        a new process may join only when the lease of the one before has ended, since that one may still
+        write."""
         former, left = self.last_boots.get(name, (boot, 0))
         lease = self.service.launch.told.lease_us
         if former == boot or (name not in self.gates and self.service.clock.now() > left + lease):
@@ -250,7 +264,7 @@
         return "another process has had this name within the lease"
 
     def handle(self, gate: JoinedGate, message: wire.FromGate) -> None:
-        """What a gate that has joined says."""
+        """Handles a message of a gate that has joined."""
         match message:
             case wire.Heartbeat():
                 self.send(gate, wire.encode_line(message))
@@ -263,10 +277,11 @@
                     self.service.clock.now(), gate.name, message.serial, wire.class_counts(message)
                 )
             case _:
-                raise ValueError(f"unasked {type(message).__name__}")
+                raise ValueError(f"unexpected message {type(message).__name__}")
 
     def remove(self, gate: JoinedGate, why: str) -> None:
-        """Its stream has ended: from now on the module counts its lease."""
+        """Removes a gate whose connection has ended. From now on the controller waits for its lease to
+        end."""
         if self.gates.get(gate.name) is not gate:
             return
         del self.gates[gate.name]
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -1,4 +1,5 @@
-"""The opening of a held connection: its upgrade is read, a node takes it, or it is refused."""
+"""The opening of a held connection: the gate reads the client's upgrade request and finds a node that accepts
+it, or refuses it."""
 
 from __future__ import annotations
 
@@ -20,11 +21,11 @@
 from lapispass.gate.upgrade import BadUpgrade, UpgradeRequest
 from lapispass.net.streams import flush, has_input, read_arrived
 
-MAX_READS_AFTER_REFUSAL = 64  # of what still comes, thrown away
+MAX_READS_AFTER_REFUSAL = 64  # of further input, which is discarded
 
 
 class Refusal(Exception):
-    """The upgrade is answered with a status instead of a tunnel."""
+    """The upgrade is refused with an HTTP status."""
 
     def __init__(self, status: int, why: str, retry_after_us: int = 0) -> None:
         super().__init__(why)
@@ -32,21 +33,21 @@
 
 
 class NoRequest(Exception):
-    """The connection ends before its first byte: nobody waits for an answer on it."""
+    """The connection ended before its first byte, so nobody waits for an answer on it."""
 
 
 class HandshakeHost(GateHost, Protocol):
-    """What a handshake needs of its gate."""
+    """What a handshake needs from its gate."""
 
     key_parameter: str
 
     def upgrade_finished(self) -> None:
-        """The task's upgrade has its final answer."""
+        """The upgrade that the current task serves has its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """An upgrade that a node has taken, and that its client has been told of."""
+    """An upgrade that a node has accepted and that has been confirmed to the client."""
 
     kind: ConnectionClass
     key: str | None
@@ -54,22 +55,23 @@
     node: Side
     protocol: str | None
     opener: NodeOpener
-    early: bytes  # what came behind the head
+    early: bytes  # bytes received after the head
 
 
 class Handshake:
-    """The upgrade of one client."""
+    """The upgrade handshake with one client."""
 
     def __init__(self, gate: HandshakeHost, reader: EventedReader, writer: asyncio.StreamWriter) -> None:
         self.gate, self.limits, self.clock = gate, gate.limits, gate.clock
         self.reader, self.writer = reader, writer
         self.state = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head_bytes)
-        self.has_input_begun = False  # whether a byte has come
+        self.has_input_begun = False  # whether a byte has been received
         name = writer.get_extra_info("peername")
         self.peer = str(name[0]) if name else "unknown"
 
     async def run(self) -> Accepted | None:
-        """From the first byte to the answer; None where the connection has ended with it, or before."""
+        """Runs the handshake from the first byte to the answer. None if the upgrade was refused or the
+        connection ended before."""
         gate = self.gate
         try:
             opening = await self.read_head()
@@ -85,14 +87,16 @@
             return None
         except (OSError, EOFError, h11.RemoteProtocolError) as error:
             gate.counters["screens.unfit"] += 1
-            gate.log.rate_limited("no upgrade", peer=self.peer, why=error)
+            gate.log.rate_limited("invalid upgrade request", peer=self.peer, why=error)
             await self.refuse(BadUpgrade(400, "unreadable"))
             return None
-        except asyncio.CancelledError:  # the gate ends; who has asked is answered first
+        except asyncio.CancelledError:  # the gate stops; a client that has sent a request is answered first
             if self.has_input_begun or has_input(self.reader, self.writer):
                 await self.refuse(Refusal(503, "the gate ends", return_delay_us(gate)))
             raise
-        if self.reader.ended or self.writer.transport.is_closing():  # gone while its node was opened
+        if (
+            self.reader.ended or self.writer.transport.is_closing()
+        ):  # the client left while its node was being opened
             gate.steering.fail(go.node)
             node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
@@ -101,7 +105,7 @@
         return Accepted(kind, key, go, node, protocol, opener, self.state.trailing_data[0])
 
     async def read_head(self) -> UpgradeRequest:
-        """The whole head of an upgrade, in time."""
+        """Reads the whole head of the upgrade request within the time limit."""
         until = asyncio.get_running_loop().time() + self.limits.handshake_us / 1e6
         while True:
             event = self.state.next_event()
@@ -115,7 +119,8 @@
                 raise BadUpgrade(400, "an upgrade has no body")
 
     async def read_head_piece(self, until: float) -> bytes:
-        """The next bytes by this time of the loop's clock, and those that have come although it is over."""
+        """The next bytes, until this time of the loop's clock. Bytes that arrived while the process was
+        stalled are read even if the time is over."""
         limits = self.limits
         piece: bytes | None
         try:
@@ -131,13 +136,13 @@
         return piece
 
     def head_timeout_error(self) -> Exception:
-        """Only who has begun to ask is told so."""
+        """The error for a late head. Only a client that has begun to send a request is answered."""
         if not self.has_input_begun:
             return NoRequest()
         return BadUpgrade(408, "the head of the upgrade did not come in time")
 
     def classify(self, opening: UpgradeRequest) -> tuple[ConnectionClass, str | None]:
-        """Its class and its key."""
+        """The class and the key of the connection that is requested."""
         kind = self.gate.steering.class_of(opening.path)
         if kind is None:
             raise Refusal(404, "no class has this path")
@@ -150,7 +155,8 @@
     async def open_node(
         self, kind: ConnectionClass, key: str | None, opener: NodeOpener
     ) -> tuple[Go, Side, str | None]:
-        """A node that has taken the upgrade, or a `Refusal` with when to come back."""
+        """Opens a connection to a node that accepts the upgrade. Raises a `Refusal` with a time to wait if
+        none does."""
         steering, tried = self.gate.steering, []
         choice = steering.arrive(self.clock.now(), kind, key)
         while True:
@@ -165,20 +171,22 @@
             except UpgradeFailed as error:
                 steering.fail(choice.node)
                 self.gate.counters["nodes.refused"] += 1
-                self.gate.log.rate_limited("node took no upgrade", node=choice.node, why=error)
+                self.gate.log.rate_limited("node refused upgrade", node=choice.node, why=error)
                 now = self.clock.now()
                 if error.final:
                     raise Refusal(error.status, str(error)) from None
                 if key is not None or len(tried) >= TRIES_MOST:
                     wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
-                choice = steering.place(now, tried)  # nothing was held or written: another node may be asked
+                choice = steering.place(
+                    now, tried
+                )  # nothing is held or written yet, so another node may be tried
             except BaseException:
                 steering.fail(choice.node)
                 raise
 
     async def refuse(self, error: Refusal | BadUpgrade) -> None:
-        """Answered at once, with when to come back where that is of use."""
+        """Sends the refusal at once, with the time to wait before a retry where that helps."""
         self.gate.upgrade_finished()
         self.gate.counters[f"screens.refused_{error.status}"] += 1
         headers = error.headers if isinstance(error, BadUpgrade) else ()
@@ -186,19 +194,20 @@
         try:
             self.writer.write(upgrade.refusal_response(self.state, error.status, str(error), headers, wait))
             self.writer.write_eof()
-            # Guards the answer: closed with bytes unread, the kernel would reset the connection, and what
-            # is on its way be lost (RFC 9112 9.6). What still comes is thrown away, for a while.
+            # If the connection were closed with unread input, the kernel would reset it and the answer
+            # could be lost on its way (RFC 9112 9.6). So further input is read and discarded for a while.
             async with asyncio.timeout(self.limits.close_us / 1e6):
                 for _ in range(MAX_READS_AFTER_REFUSAL):
                     if not await self.reader.read(self.limits.read_bytes):
                         break
         except (h11.LocalProtocolError, OSError):
-            pass  # what came was no HTTP, or it is gone: nothing can be answered to it
+            pass  # the input was not HTTP, or the client is gone: no answer is possible
         await flush(self.writer, self.limits.flush_us)
         self.writer.transport.abort()
 
     async def refuse_unread(self, why: str) -> None:
-        """Refuses it before it is read; who asks nothing within a moment is closed without a word."""
+        """Refuses the request before it is read. A client that sends nothing within `Limits.flush_us` is
+        disconnected without an answer."""
         if not await self.has_input_soon():
             self.gate.counters["screens.never_asked"] += 1
             self.writer.transport.abort()
@@ -206,7 +215,7 @@
         await self.refuse(Refusal(503, why, return_delay_us(self.gate)))
 
     async def has_input_soon(self) -> bool:
-        """Whether something comes within `Limits.flush_us`; it stays unread."""
+        """Whether input arrives within `Limits.flush_us`. The input is not read."""
         until = self.clock.now() + self.limits.flush_us
         while not has_input(self.reader, self.writer):
             if self.reader.ended or self.clock.now() >= until:
@@ -216,5 +225,5 @@
 
 
 def return_delay_us(gate: GateHost) -> int:
-    """When a client may come back, counted from now: others are given other times."""
+    """The time from now after which a client may come back. Each client is given a different time."""
     return gate.steering.returns.delay_us(gate.clock.now())
--- a/lapispass/gate/host.py
+++ b/lapispass/gate/host.py
@@ -1,4 +1,4 @@
-"""What the parts of a gate need of the gate they belong to; `service.Gate` is it."""
+"""The interfaces that the parts of a gate use; `service.Gate` implements them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class GateHost(Protocol):
-    """What every part uses: settings, clock, counters, log, and the decisions."""
+    """What every part uses: settings, clock, counters, log, and the steering that makes the decisions."""
 
     settings: operator_pb2.Gate  # the gate's part of the operator file
     limits: Limits
@@ -27,10 +27,12 @@
 
 
 class TableHost(GateHost, Protocol):
-    """What whoever brings tables and plans needs: the stream to a controller, or the file of a lone gate."""
+    """What a source of tables and plans uses: the channel to a controller, or the file of a standalone
+    gate."""
 
     def apply_changes(self, changes: Iterable[tables.Change]) -> None:
-        """Table changes and marks, at once: from here on nothing begins by the older table."""
+        """Applies table changes and barriers at once. From here on no message begins under the older
+        tables."""
 
     def follow_plan(self, plan: Plan) -> bool:
-        """A plan; False where a newer one is in force."""
+        """Follows a plan; False if a newer one is in force."""
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -1,4 +1,7 @@
-"""A held connection's move to another node, make before break: its steps, and the bound in time of each."""
+"""The move of a held connection to another node: its steps and the time limit of each.
+
+The connection to the new node is made before the one to the old node is closed.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,18 @@
 
 
 class MoveFailed(Exception):
-    """The new node did not take the connection over."""
+    """The new node did not take over the connection."""
 
 
 class Move:
-    """One move. Steps: opening, stopping, proving, quieting, parting."""
+    """One move. Its steps are:
+
+    opening: the connection to the new node is made while the old node serves on;
+    stopping: no new message of the client begins; one that has begun is finished;
+    proving: a ping to the old node must be answered, which shows that it has read everything;
+    quieting: the gate waits until the old node sends nothing;
+    parting: the old node has been sent a close frame, and its answer is awaited.
+    """
 
     __slots__ = ("go", "new", "opening", "step", "token", "until")
 
@@ -25,24 +35,25 @@
         self.go, self.opening = go, opening
         self.step = "opening"
         self.new: Side | None = None
-        self.token = 0  # of the ping whose answer proves that the old node has read all
+        self.token = 0  # of the ping whose answer shows that the old node has read everything
         self.until = NEVER
 
     def take_opened(self, protocol: str | None, until: int) -> bool:
-        """Whether the new node has taken the upgrade; raises `MoveFailed` where it did not, or otherwise."""
+        """Whether the new node has accepted the upgrade. Raises `MoveFailed` if it refused it or chose
+        another subprotocol."""
         if not self.opening.done():
             return False
         try:
             self.new, chosen = self.opening.result()
         except (UpgradeFailed, asyncio.CancelledError) as error:
             raise MoveFailed(f"{error}") from None
-        if chosen != protocol:  # the client has been promised another one
-            raise MoveFailed(f"subprotocol {chosen!r} in place of {protocol!r}")
+        if chosen != protocol:  # the client was promised `protocol` in its handshake
+            raise MoveFailed(f"the new node chose subprotocol {chosen!r}, expected {protocol!r}")
         self.step, self.until = "stopping", until
         return True
 
     def prove(self, old: Side, held: Held, now: int, limits: Limits) -> bool:
-        """Has the old node show that it has read all; True in the turn in which it has."""
+        """Has the old node show that it has read everything. True in the call in which it has done so."""
         if self.step == "stopping" and not held.inside:
             self.step, self.token = "proving", old.ping(now)
         if self.step == "proving" and old.acked_token >= self.token:
@@ -51,19 +62,20 @@
         return False
 
     def close_when_quiet(self, old: Side, held: Held, now: int, limits: Limits) -> None:
-        """Closes the old node between two of its messages, once it is quiet or has had its time for that."""
+        """Closes the connection to the old node between two of its messages, once it is quiet or the time
+        limit for that is over."""
         is_quiet = now - held.last_us >= limits.quiet_us or now >= self.until
         if self.step == "quieting" and not old.mid_message and is_quiet:
             old.close(1000, "moved")
             self.step, self.until = "parting", now + limits.close_us
 
     def next_due(self, held: Held, limits: Limits) -> int:
-        """When something has to be done without anything coming."""
+        """The time at which something has to be done even if nothing is received."""
         quiet_at = held.last_us + limits.quiet_us if self.step == "quieting" else NEVER
         return min(self.until, quiet_at)
 
     def abandon(self) -> None:
-        """Ends the connection to the new node, now or as soon as it is up."""
+        """Ends the connection to the new node, now or as soon as it is open."""
         self.opening.cancel()
         if self.opening.done():
             reset_opened(self.opening)
@@ -72,6 +84,7 @@
 
 
 def reset_opened(opening: asyncio.Task[tuple[Side, str | None]]) -> None:
-    """Cuts a connection that no move wants; whatever became of it has been heard."""
+    """Resets a connection that no move needs any more. This also retrieves the task's exception, if it has
+    one."""
     if not opening.cancelled() and opening.exception() is None:
         opening.result()[0].reset()
--- a/lapispass/gate/node_connection.py
+++ b/lapispass/gate/node_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a node, from its address to the node's answer to the upgrade."""
+"""Opening a connection to a node, from the look-up of its address to its answer to the upgrade request."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UpgradeFailed(Exception):
-    """A node did not take the upgrade; `final` where another node would say the same."""
+    """A node did not accept the upgrade. `final` is set where another node would give the same answer."""
 
     def __init__(self, why: str, status: int = 502, retry_after_us: int = 0) -> None:
         super().__init__(why)
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeOpener:
-    """Opens connections to nodes for one client's upgrade: at first, and for each move."""
+    """Opens connections to nodes for one client's upgrade request: the first one, and one for each move."""
 
     gate: GateHost
     opening: UpgradeRequest
@@ -35,14 +35,14 @@
     wake: asyncio.Event
 
     async def open(self, go: Go) -> tuple[Side, str | None]:
-        """A connection to a node that has answered 101, or `UpgradeFailed`."""
+        """Connects to a node that answers 101. Raises `UpgradeFailed` otherwise."""
         gate, limits = self.gate, self.gate.limits
         address = gate.steering.tables.nodes.get(go.node)
         if address is None:
-            raise UpgradeFailed("its address is not known")
+            raise UpgradeFailed("the node's address is not known")
         handshake = NodeHandshake(self.opening, address.address, self.peer, limits.head_bytes)
         writer = None
-        stands = False
+        is_open = False
         try:
             reader, writer = await within(
                 limits.connect_us,
@@ -51,25 +51,25 @@
                 lambda streams: streams[1].transport.abort(),
             )
             writer.write(handshake.request_bytes())
-            waited = read_answer(handshake, reader, limits.read_bytes)
-            answer = await within(limits.upgrade_us, waited, limits.late_us)
+            answering = read_answer(handshake, reader, limits.read_bytes)
+            answer = await within(limits.upgrade_us, answering, limits.late_us)
             if answer.status != 101:
                 raise UpgradeFailed(answer.why, answer.status, answer.retry_after_us)
-            stands = True
+            is_open = True
             side = Side("node", reader, writer, answer.early, gate.clock.now(), limits.buffer_bytes)
             return side, answer.protocol
         except (OSError, EOFError, h11.RemoteProtocolError, h11.LocalProtocolError) as error:
             raise UpgradeFailed(f"{type(error).__name__} {error}") from None
         finally:
-            if writer is not None and not stands:
+            if writer is not None and not is_open:
                 writer.transport.abort()
 
 
 async def read_answer(handshake: NodeHandshake, reader: EventedReader, read_bytes: int) -> upgrade.NodeAnswer:
-    """A node's whole answer to an upgrade."""
+    """Reads a node's answer to an upgrade request."""
     while True:
         piece = await reader.read(read_bytes)
         if (answer := handshake.read(piece)) is not None:
             return answer
         if not piece:
-            raise EOFError("ended")
+            raise EOFError("the node closed the connection before it answered")
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -1,4 +1,4 @@
-"""A gate: takes connections, holds them, and lets them go as its steering says."""
+"""The gate's process: accepts connections, holds them, and moves or closes them as its steering decides."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class Gate:
-    """One gate. Embed it with `await Gate(source, seed).run()`; `stop()` ends that in order."""
+    """One gate. To embed it, `await Gate(source, seed).run()`; `stop()` ends that in an orderly way."""
 
     def __init__(self, source: Source, seed: int, limits: Limits | None = None) -> None:
         settings = source.told
         if not settings.HasField("gate"):
-            raise BadFile([source.at("gate", "missing: the file describes no gate")])
+            raise BadFile([source.at("gate", "missing: the file has no settings for a gate")])
         self.source, self.settings = source, settings.gate
         self.limits = limits or Limits.from_settings(settings.gate)
         self.clock, self.counters = Clock(), Counters()
@@ -54,7 +54,7 @@
         )
         self.tunnels: dict[int, Tunnel] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.upgrading: set[asyncio.Task[None]] = set()  # of these, until their tunnel stands
+        self.upgrading: set[asyncio.Task[None]] = set()  # those of them whose upgrade has no final answer yet
         self.server: Acceptor | None = None
         self.ended = asyncio.Event()
         self.address = ""
@@ -62,7 +62,7 @@
         self.uplink = Uplink(self, settings.gate.controller, secret) if settings.gate.controller else None
         self.standalone = None if settings.gate.controller else Standalone(self, source)
 
-    # what tunnels call
+    # called by handshakes and tunnels
 
     def upgrade_finished(self) -> None:
         if (task := asyncio.current_task()) is not None:
@@ -78,14 +78,15 @@
         self.acknowledge(marks)
 
     def acknowledge(self, marks: list[int]) -> None:
-        """Marks that can be answered."""
+        """Acknowledges the barriers with these marks."""
         if marks and self.uplink is not None:
             self.uplink.acknowledge(marks)
 
     # orders
 
     def apply_changes(self, changes: Iterable[tables.Change]) -> None:
-        """Table changes and marks, at once: from here on nothing begins by the older table."""
+        """Applies table changes and barriers at once. From here on no message begins under the older
+        tables."""
         now = self.clock.now()
         effects = self.steering.apply(changes)
         for number in effects.stopped:
@@ -97,8 +98,8 @@
         self.acknowledge(effects.answers)
 
     def follow_plan(self, plan: Plan) -> bool:
-        """A plan of the controller; False where a newer one is in force. Nodes called gone must show a sign
-        of life."""
+        """Follows a plan of the controller; False if a newer one is in force. Nodes that the plan lists as
+        dead must answer a ping."""
         now, known = self.clock.now(), self.steering.plan.dead
         if not self.steering.follow(now, plan):
             return False
@@ -108,10 +109,10 @@
                     tunnel.start_fence(now)
         return True
 
-    # its life
+    # run and stop
 
     async def run(self) -> None:
-        """Serves until `stop()`, then closes what it holds in order."""
+        """Serves until `stop()`, then closes all connections in order."""
         loop = asyncio.get_running_loop()
         listener = await listener_in_time(self.settings.listen, self.limits.backlog)
         self.server = Acceptor(
@@ -145,8 +146,8 @@
         self.ended.set()
 
     async def close_all(self) -> None:
-        """Its own end: each client gets a close frame with when to come back, and so does its node. Upgrades
-        under way are refused."""
+        """Ends all connections when the gate stops. Each client gets a close frame with a time to come back,
+        and each node gets a close frame. Upgrades under way are refused."""
         now = self.clock.now()
         for task in self.upgrading:
             task.cancel()
@@ -162,18 +163,18 @@
             await asyncio.wait(self.tasks, timeout=1)
 
     def make_protocol(self) -> asyncio.Protocol:
-        """A connection that has come, before its first byte."""
+        """The protocol for a new connection, before its first byte."""
         return EventedProtocol(EventedReader(self.limits.read_bytes, asyncio.Event()), self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The task of one connection."""
+        """Serves one connection; runs as a task of its own."""
         task = asyncio.current_task()
         assert task is not None and isinstance(reader, EventedReader)
         self.counters["screens.came"] += 1
         self.tasks.add(task)
         handshake = Handshake(self, reader, writer)
         try:
-            if self.ended.is_set():  # accepted in the instant of the end
+            if self.ended.is_set():  # accepted just as the gate stops
                 await handshake.refuse_unread("the gate ends")
                 return
             if (
@@ -182,15 +183,15 @@
                 self.counters["screens.crowded_out"] += 1
                 if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.handshakes_at_once:
                     await handshake.refuse_unread("too many upgrades at once")
-                else:  # Guards descriptors: so many are being refused already.
+                else:  # bounds descriptors: this many are being refused already
                     writer.transport.abort()
                 return
             self.upgrading.add(task)
             if accepted := await handshake.run():
                 await Tunnel(self, reader, writer, accepted).run()
         except asyncio.CancelledError:
-            writer.transport.abort()  # in order: the gate ends, and whoever has asked is answered
-        except Exception:  # a fault of our own costs this connection, not the gate
+            writer.transport.abort()  # the gate stops, and a client that sent a request has been answered
+        except Exception:  # an internal error ends this connection, not the gate
             self.counters["screens.faults"] += 1
             self.log.failed("connection failed")
             writer.transport.abort()
@@ -199,7 +200,7 @@
             self.tasks.discard(task)
 
     async def ticks(self) -> None:
-        """Lets go whoever is due, and looks after the lease."""
+        """Moves or closes connections that are due, and checks the lease."""
         tick_us = self.limits.tick_us
         while True:
             await asyncio.sleep(tick_us / 1e6)
@@ -207,11 +208,15 @@
             now = self.clock.now()
             was = self.steering.writable
             for number in self.steering.expired(now):
-                if tunnel := self.tunnels.get(number):  # proven or cut before the lease ends
+                if tunnel := self.tunnels.get(
+                    number
+                ):  # the node has read everything, or is cut off, before the lease ends
                     tunnel.start_fence(now, max(now + 1, self.steering.lease_ends()))
             if was != self.steering.writable:
                 self.log.warn(
-                    "writes go on" if self.steering.writable else "no word of the controller: writes stop"
+                    "lease renewed: writes resume"
+                    if self.steering.writable
+                    else "no answer from the controller within the lease: writes stop"
                 )
                 for tunnel in self.tunnels.values():
                     if tunnel.held.waiting:
@@ -229,7 +234,8 @@
         self.log.say("counters", held=len(self.tunnels), **counted)
 
     def reload(self) -> bool:
-        """SIGHUP: a gate that stands alone takes its nodes and lines anew; a bad file changes nothing."""
+        """On SIGHUP, a standalone gate reads its nodes and table entries again. An invalid file changes
+        nothing."""
         self.counters["gate.reloads"] += 1
         try:
             source = operator.read(self.source.path)
@@ -245,12 +251,13 @@
 
 
 async def serve(path: str | Path, seed: int) -> None:
-    """A whole process: signals, the operator file and the gate."""
+    """Runs the whole process: signals, the operator file and the gate."""
     gate = Gate(operator.read_at_start(path), seed)
     process.on_signals(gate.stop, gate.print_counters, gate.reload)
     await gate.run()
 
 
 def main(path: str | Path, seed: int, lines: logging.Formatter | None = None) -> int:
-    """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
+    """Runs the process and returns its exit status: 0 for an orderly end, 1 for an internal error, 2 for bad
+    input."""
     return process.status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -1,5 +1,5 @@
-"""A gate that stands alone: its nodes and lines come from its own operator file, and it keeps its own
-plans."""
+"""A standalone gate, which has no controller. Its nodes and table entries come from its own operator file,
+and it makes its own plans."""
 
 from __future__ import annotations
 
@@ -17,39 +17,50 @@
 
 
 class Standalone:
-    """The keeper of one gate's plans, told by a file instead of a controller."""
+    """Steers the held connections of one gate by its operator file, in place of a controller."""
 
     def __init__(self, gate: TableHost, source: Source) -> None:
         self.gate = gate
-        told = source.told
+        settings = source.told
         now = gate.clock.now()
-        self.keeper = Keeper(operator.classes(told), operator.bounds(told), operator.drain_terms(told), now)
+        self.keeper = Keeper(
+            operator.classes(settings), operator.bounds(settings), operator.drain_terms(settings), now
+        )
         self.keeper.joined(now, gate.settings.name, gate.settings.zone, NONE, {})
         self.views: list[NodeView] = []
-        self.starts: dict[str, tuple[int, int]] = {}  # node: as the file says, and by our clock
+        self.starts: dict[
+            str, tuple[int, int]
+        ] = {}  # node: start time as in the file, and by this process's clock
         self.serial, self.reported = 0, 0
         self.follow(source)
 
     def follow(self, source: Source) -> None:
-        """Nodes and lines as a file has them now. A slice without a line goes to the ready nodes in turn."""
-        told, gate = source.told, self.gate
-        if not told.HasField("gate") or told.gate.slices != gate.settings.slices or told.gate.controller:
-            raise BadFile([source.at("gate", "who it is and its slices are followed after a restart only")])
+        """Applies the nodes and table entries of a file. Slices without an entry are spread over the ready
+        nodes."""
+        settings, gate = source.told, self.gate
+        if (
+            not settings.HasField("gate")
+            or settings.gate.slices != gate.settings.slices
+            or settings.gate.controller
+        ):
+            raise BadFile(
+                [source.at("gate", "changes of its slices or controller take effect only after a restart")]
+            )
         wanted = tables.Tables(gate.settings.slices)
-        for node in told.node:
+        for node in settings.node:
             if node.state != Node.GONE:
                 wanted.nodes[node.id] = tables.Address(node.address, node.zone)
             if node.state != Node.READY:
                 wanted.out.add(node.id)
-        ready = [node.id for node in told.node if node.state == Node.READY]
-        lines = {line.slice: line.owner for line in told.line}
+        ready = [node.id for node in settings.node if node.state == Node.READY]
+        lines = {line.slice: line.owner for line in settings.line}
         for number in range(gate.settings.slices):
             owner = lines.get(number)
             if owner in ready:
                 wanted.owners[number] = owner
             elif ready:
                 wanted.owners[number] = ready[number % len(ready)]
-        self.starts = {node.id: self.starts[node.id] for node in told.node if node.id in self.starts}
+        self.starts = {node.id: self.starts[node.id] for node in settings.node if node.id in self.starts}
         gate.apply_changes(list(wanted.differences(gate.steering.tables)))
         self.views = [
             NodeView(
@@ -59,12 +70,12 @@
                 node.weight if node.HasField("weight") else 1.0,
                 self.started(node),
             )
-            for node in told.node
+            for node in settings.node
         ]
         self.tick(gate.clock.now())
 
     def started(self, node: Node) -> int:
-        """When it started, by our clock, in microseconds; 0 for long ago."""
+        """When a node started, by this process's clock in microseconds; 0 means long ago."""
         reported_us = node.started_unix_ms * 1000
         known = self.starts.get(node.id)
         if known is None or known[0] != reported_us:
@@ -73,7 +84,7 @@
         return known[1]
 
     def tick(self, now: int) -> None:
-        """Reports to its own keeper, and follows what that plans."""
+        """Reports to its own connection controller and follows the plan that this makes."""
         gate, name = self.gate, self.gate.settings.name
         if now - self.reported >= gate.limits.report_us:
             self.reported, self.serial = now, self.serial + 1
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -1,4 +1,4 @@
-"""The life of one held connection, in one task: passing on, moves, and its end in order."""
+"""One held connection, served by one task: forwarding, moves to other nodes, and an orderly close."""
 
 from __future__ import annotations
 
@@ -18,32 +18,34 @@
 from lapispass.gate.host import GateHost
 from lapispass.gate.move import Move, MoveFailed
 
-MAX_EVENTS_PER_PASS = 8  # passed on from one side before the other one has its turn
+MAX_EVENTS_PER_PASS = 8  # handled from one side before the other side is served
 
 
 @dataclass(slots=True)
 class CloseHandshake:
-    """A close handshake: first with the client ('client'), then with the node ('node')."""
+    """The close handshake under way: first with the client (step 'client'), then with the node (step
+    'node')."""
 
     step: str
     until: int
 
 
 class TunnelHost(GateHost, Protocol):
-    """What a connection needs of its gate."""
+    """What a tunnel needs from its gate."""
 
     def opened(self, tunnel: Tunnel) -> None:
-        """The connection has its node."""
+        """The connection to the node is open."""
 
     def closed(self, tunnel: Tunnel, marks: list[int]) -> None:
-        """The connection has ended; marks that can be answered now."""
+        """The connection has ended. `marks` are of the barriers that can be acknowledged now."""
 
     def acknowledge(self, marks: list[int]) -> None:
-        """Marks that can be answered."""
+        """Acknowledges the barriers with these marks."""
 
 
 class Tunnel:
-    """One connection. Its gate's steering decides; here bytes move."""
+    """The tunnel between one client and its node. The gate's steering makes the decisions; this class moves
+    the bytes."""
 
     __slots__ = (
         "client",
@@ -76,18 +78,18 @@
         self.node: Side | None = accepted.node
         self.protocol, self.opener = accepted.protocol, accepted.opener
         self.held: Held = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
-        self.pending_message: Message[Any] | None = None  # a message that may not begin yet
+        self.pending_message: Message[Any] | None = None  # a client's message that may not be sent on yet
         self.move: Move | None = None
         self.closing: CloseHandshake | None = None
         self.finished, self.end_reason = False, "broken"
-        self.discarding = False  # closed by us: messages that may not be sent any more are thrown away
-        self.release = ""  # 'move' or 'close', as the steering has asked
-        self.proof = 0  # a ping whose answer proves that the node has read all
+        self.discarding = False  # after the gate's own close: messages that may not be sent are dropped
+        self.release = ""  # 'move' or 'close', as ordered by the steering
+        self.proof = 0  # token of the ping whose answer shows that the node has read everything
         self.proof_until = 0
         self.proof_written = 0
 
     async def run(self) -> None:
-        """From the upgrade to the last byte."""
+        """Serves the connection from the upgrade to its last byte."""
         self.gate.opened(self)
         try:
             while not self.finished:
@@ -101,10 +103,10 @@
         finally:
             self.tear_down()
 
-    # passing on
+    # forwarding
 
     async def read_client(self, now: int) -> None:
-        """What the client sends goes to the node, as far as the node reads and the table lets it."""
+        """Forwards what the client sends to the node, as far as the node reads and the tables allow."""
         client = self.client
         for _ in range(MAX_EVENTS_PER_PASS):
             if self.finished or (self.node is not None and self.node.full):
@@ -122,8 +124,9 @@
                     if self.discarding or (
                         self.closing and not client.mid_message and not self.may_begin(now)
                     ):
-                        # Guards the close: behind a message that goes nowhere any more the client's own close
-                        # would never be read. The client has been told, and knows that it was not taken.
+                        # This message cannot be sent any more. If it were kept, the client's own close frame
+                        # behind it would never be read. The client has been sent a close frame, so it knows
+                        # that the message was not accepted.
                         self.discarding, self.pending_message, self.held.waiting = True, None, False
                         continue
                     if not client.mid_message and not self.may_begin(now):
@@ -137,10 +140,11 @@
                     client.on_pong(event)
                 case CloseConnection(code=code, reason=reason):
                     self.client_closed(int(code), reason, now)
-        self.wake.set()  # there may be more
+        self.wake.set()  # there may be more input
 
     def may_begin(self, now: int) -> bool:
-        """Whether a message of the client may begin on its way, by the table and by a move under way."""
+        """Whether a new message of the client may be sent to the node now, by the tables and a move under
+        way."""
         between = self.move is not None and (self.move.step != "opening" or self.node is None)
         return (
             self.node is not None
@@ -150,7 +154,7 @@
         )
 
     def forward_to_node(self, event: Message[Any], now: int) -> None:
-        """A message or a piece of it; where it began is where it ends."""
+        """Forwards a message or a fragment. All fragments of a message go to the same node."""
         if not self.client.count_fragment(event, self.limits.message_bytes):
             self.close(1009, "message too long", now)
             return
@@ -160,7 +164,7 @@
             self.gate.counters["messages.up"] += event.message_finished
 
     async def read_node(self, now: int) -> None:
-        """What the node sends goes to the client."""
+        """Forwards what the node sends to the client."""
         node = self.node
         for _ in range(MAX_EVENTS_PER_PASS):
             if self.finished or node is None or node is not self.node or self.client.full:
@@ -171,7 +175,7 @@
                     node.feed(await node.reader.read(self.limits.read_bytes), now)
                     continue
                 if node.ended and not node.got_close:
-                    self.node_lost("ended without a close", now)
+                    self.node_lost("ended without a close frame", now)
                 return
             match event:
                 case Message():
@@ -191,10 +195,11 @@
                     self.node_closed(int(code), reason, now)
         self.wake.set()
 
-    # ends of either side
+    # the end of either side
 
     def client_closed(self, code: int, reason: str | None, now: int) -> None:
-        """Its close is answered, and told to the node. A junk frame shows as a close, too, with its code."""
+        """Answers the client's close frame and closes the node's side. An invalid frame also gives a close
+        event, with its error code."""
         self.client.close(close_codes.forwarded(code, 1000))
         if self.closing is None:
             self.end_reason = (
@@ -208,7 +213,8 @@
         self.close_node(1001, now)
 
     def close_node(self, code: int, now: int) -> None:
-        """The second half of every end: the node's close handshake, by which it has read all."""
+        """Starts the close handshake with the node, the second half of every end. The node's answer shows
+        that it has read everything."""
         self.drop_move()
         if self.node is None or self.node.got_close:
             self.finished = True
@@ -217,7 +223,7 @@
         self.closing = CloseHandshake("node", now + self.limits.close_us)
 
     def node_closed(self, code: int, reason: str | None, now: int) -> None:
-        """A node's close frame; having sent it, the node has read what it was going to read."""
+        """Handles a node's close frame. A node that has sent one reads no further messages."""
         node = self.node
         assert node is not None
         node.close(close_codes.forwarded(code, 1000))
@@ -227,7 +233,7 @@
         elif self.move is not None and self.move.step == "parting":
             self.switch(now)
         elif code in close_codes.LEAVING:
-            self.node_lost(f"closed with {code}", now)
+            self.node_lost(f"closed with code {code}", now)
         else:
             self.end_reason = "node closed"
             self.node = None
@@ -236,13 +242,13 @@
             self.close(code, reason or "", now)
 
     def node_lost(self, why: str, now: int) -> None:
-        """The node is gone without a close, or is going. What it was not shown to have read is never sent
-        again."""
+        """The node is gone without a close frame, or is leaving. Messages that it may or may not have read
+        are never sent again."""
         gate, held, node = self.gate, self.held, self.node
         gate.counters["nodes.lost"] += 1
         cut_short = held.unproven or held.inside or (node is not None and node.mid_message)
         if node is not None:
-            node.reset()  # nothing more reaches it: as good as read, for rule 2
+            node.reset()  # nothing more reaches the node, which is as good as read for rule 2
         self.node = None
         self.proof, self.proof_until = 0, 0
         gate.acknowledge(gate.steering.cut(held))
@@ -256,7 +262,7 @@
             and not cut_short
             and self.move.new is not None
         ):
-            self.switch(now)  # proven before it was lost: nothing is missing
+            self.switch(now)  # the old node had read everything before it was lost
             return
         if held.kind.movable and not cut_short and self.move is None:
             self.begin_move(now)
@@ -266,10 +272,10 @@
             self.end_reason = "node lost"
             self.close_with_retry_delay(1012, now)
 
-    # moves and ends that the gate asks for
+    # moves and closes that the gate asks for
 
     def act(self, now: int) -> None:
-        """Orders, proofs, moves and times that have come."""
+        """Handles orders, fences, moves and time limits that are due."""
         if self.finished:
             return
         self.follow_release(now)
@@ -280,7 +286,7 @@
             self.check_times(now)
 
     def follow_release(self, now: int) -> None:
-        """Moves or closes, as the steering has asked."""
+        """Starts the move or close that the steering has ordered."""
         if not self.release or self.move is not None or self.closing is not None:
             return
         action, self.release = self.release, ""
@@ -291,14 +297,14 @@
             self.close_with_retry_delay(1012, now)
 
     def advance_fence_and_move(self, now: int) -> None:
-        """What a node was asked to prove, and the move under way."""
+        """Advances the fence, if one is open, and the move under way."""
         if self.proof_until and self.node is not None:
             self.advance_fence(self.node, now)
         if self.move is not None:
             self.advance_move(self.move, now)
 
     def check_peers(self, now: int) -> None:
-        """Pings who is silent, and ends who does not read or answer."""
+        """Pings a peer that is silent, and ends one that does not read or answer."""
         for side in (self.client, self.node):
             if side is None or self.finished:
                 continue
@@ -307,21 +313,21 @@
                 self.peer_failed(side, failure, now)
 
     def check_times(self, now: int) -> None:
-        """The idle time-out, and the bound of a close handshake."""
+        """Checks the idle time-out and the time limit of a close handshake."""
         idle_us, idle_for = self.limits.idle_us, now - self.held.last_us
         if idle_us and idle_for > idle_us and self.closing is None and self.move is None:
             self.end_reason = "idle"
             self.close(1000, "idle", now)
         if self.closing is None or now < self.closing.until:
             return
-        if self.closing.step == "client":  # it does not answer the close: its node is told all the same
+        if self.closing.step == "client":  # no answer from the client: the node is closed all the same
             self.gate.counters["screens.close_unanswered"] += 1
             self.close_node(1001, now)
         else:
             self.finished = True
 
     def peer_failed(self, side: Side, why: str, now: int) -> None:
-        """A peer that does not read or answer counts as gone."""
+        """Handles a peer that does not read or answer: it counts as gone."""
         if side is self.client:
             side.writer.transport.abort()
             self.end_reason = f"screen {why}"
@@ -330,25 +336,27 @@
             self.node_lost(why, now)
 
     def start_fence(self, now: int, until: int = NEVER) -> None:
-        """The table has changed: the node has to show that it has read all that was written by the older
-        one."""
-        self.proof = 0  # a ping that is out may be older than the last message
+        """Opens a fence: the tables have changed, so the node has to show that it has read everything that
+        was written under the older ones."""
+        self.proof = 0  # a ping that is under way may be older than the last message
         self.proof_until = min(self.proof_until or now + self.limits.fence_us, until)
         self.wake.set()
 
     def advance_fence(self, node: Side, now: int) -> None:
-        """The ping behind the last message; a node that does not answer in time is cut off."""
+        """Sends a ping after the last message and checks for its answer. A node that does not answer in time
+        is disconnected."""
         if not self.proof and not self.held.inside and not node.sent_close:
             self.proof, self.proof_written = node.ping(now), self.held.written
         if self.proof and node.acked_token >= self.proof:
             self.proven(self.proof_written)
         elif now >= self.proof_until:
             self.gate.counters["fences.cut"] += 1
-            self.gate.log.rate_limited("node has not read in time", node=self.held.node)
-            self.node_lost("has not read in time", now)
+            self.gate.log.rate_limited("node did not answer the fence ping in time", node=self.held.node)
+            self.node_lost("no answer to the fence ping in time", now)
 
     def proven(self, written: int | None = None) -> None:
-        """The node has read so many pieces; all, where nothing was written since."""
+        """The node has read this number of messages and fragments; without a number, all that were
+        written."""
         self.proof, self.proof_until = 0, 0
         self.gate.counters["fences.proven"] += 1
         self.gate.acknowledge(
@@ -356,7 +364,7 @@
         )
 
     def begin_move(self, now: int) -> None:
-        """The new node's connection is made while the old one serves on."""
+        """Starts to connect to the new node, while the old node serves on."""
         target = self.gate.steering.target(now, self.held)
         if isinstance(target, Refused):
             self.gate.steering.stay(self.held)
@@ -367,7 +375,7 @@
         self.move = Move(target, opening)
 
     def advance_move(self, move: Move, now: int) -> None:
-        """One step after the other; each has a bound in time."""
+        """Takes the move through its steps, each of which has a time limit."""
         held, limits = self.held, self.limits
         if move.step == "opening":
             try:
@@ -386,11 +394,11 @@
         move.close_when_quiet(self.node, held, now, limits)
         if now >= move.until:
             self.gate.counters["moves.broken"] += 1
-            self.node_lost(f"a move came to nothing while {move.step}", now)
+            self.node_lost(f"move timed out in step {move.step}", now)
 
     def move_failed(self, why: str, now: int) -> None:
-        """The new node did not take it; the old one goes on, or, if there is none, the client is sent
-        away."""
+        """The new node did not accept the connection. The old node serves on; if it is gone, the client is
+        closed with a time to come back."""
         assert self.move is not None
         self.gate.counters["moves.failed"] += 1
         self.gate.log.rate_limited("move failed", node=self.move.go.node, why=why)
@@ -401,7 +409,7 @@
             self.close_with_retry_delay(1012, now)
 
     def drop_move(self) -> None:
-        """A move that is not carried on; the place taken at the new node is given back."""
+        """Abandons the move and gives back the capacity reserved at the new node."""
         if self.move is None:
             return
         move, self.move = self.move, None
@@ -410,7 +418,8 @@
         self.gate.steering.stay(self.held)
 
     def switch(self, now: int) -> None:
-        """On a message boundary both ways: the old node has closed, the new one takes over."""
+        """Switches to the new node, on a message boundary in both directions, after the old node has
+        closed."""
         move, old = self.move, self.node
         assert move is not None and move.new is not None
         self.move, self.node = None, move.new
@@ -422,7 +431,7 @@
         self.wake.set()
 
     def close(self, code: int, reason: str, now: int) -> None:
-        """In order: first the client, whose last messages still go to the node, then the node."""
+        """Closes in order: first the client, whose last messages still go to the node, then the node."""
         if self.closing is not None:
             return
         self.drop_move()
@@ -434,17 +443,17 @@
         self.closing = CloseHandshake("client", now + self.limits.close_us)
 
     def close_with_retry_delay(self, code: int, now: int) -> None:
-        """With when to come back: clients that are closed together are given different times."""
+        """Closes with a time to come back. Clients that are closed together are given different times."""
         wait_us = return_delay_us(self.gate)
         self.close(code, f"come-back-ms={wait_us // 1000}", now)
 
-    # waiting, and the end
+    # waiting, and the clean-up
 
     async def wait(self, now: int) -> None:
-        """Until one end has something, an order has come, or a time is due."""
+        """Waits until either side has input, an order has come, or a time is due."""
         due = self.next_due(now)
         if self.wake.is_set():
-            await asyncio.sleep(0)  # others have their turn too
+            await asyncio.sleep(0)  # other tasks run too
             return
         try:
             async with asyncio.timeout(max(0.001, (due - now) / 1e6)):
@@ -453,7 +462,7 @@
             pass
 
     def next_due(self, now: int) -> int:
-        """The earliest time at which something has to be done without anything coming."""
+        """The earliest time at which something has to be done even if nothing is received."""
         limits, due = self.limits, now + self.limits.ping_us
         for side in (self.client, self.node):
             if side is not None:
@@ -469,14 +478,15 @@
         return max(due, now + 1000)
 
     def tear_down(self) -> None:
-        """Whatever ended it: nothing of it is left, and marks that waited for it are told."""
+        """Cleans up, whatever ended the connection, and acknowledges barriers that waited for it."""
         self.drop_move()
         limits, steering = self.limits, self.gate.steering
         if self.node is not None:
             if self.node.got_close or not self.held.unproven:
                 self.node.close_after_flush(limits.close_us / 1e6)
             else:
-                # Guards rule 2: no byte of an older table is sent by the kernel behind our back.
+                # Rule 2: the kernel must not send unsent bytes after this process counts them as dropped;
+                # they were written under older tables.
                 self.node.reset()
         if self.client.sent_close or self.client.got_close:
             self.client.close_after_flush(limits.close_us / 1e6)
--- a/lapispass/gate/upgrade.py
+++ b/lapispass/gate/upgrade.py
@@ -1,4 +1,7 @@
-"""The opening handshake of RFC 6455 on h11, both sides. No I/O: bytes in, bytes out."""
+"""The opening handshake of RFC 6455, on h11: as a server towards clients, as a client towards nodes.
+
+This module does no I/O; it takes and returns bytes.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
 import h11
 
 ACCEPT_GUID = b"258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
-# Hop by hop (RFC 9110 7.6.1) or made anew by the gate; extensions are not passed on: the gate reads every
-# frame, so compression is negotiated away on both sides.
+# Headers that apply to one hop (RFC 9110 7.6.1) or that the gate creates itself. Extensions are not
+# forwarded: the gate reads every frame, so it declines compression on both sides.
 NOT_FORWARDED = {
     b"connection",
     b"upgrade",
@@ -34,7 +37,7 @@
 
 
 class BadUpgrade(Exception):
-    """What came is no upgrade that can be served; `status` and `headers` are the answer."""
+    """The request is not an upgrade that can be served. `status` and `headers` are for the response."""
 
     def __init__(self, status: int, why: str, headers: tuple[tuple[str, str], ...] = ()) -> None:
         super().__init__(why)
@@ -43,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UpgradeRequest:
-    """An upgrade as a client asked for it."""
+    """A client's upgrade request."""
 
     target: str
     key: bytes
     protocols: tuple[str, ...]
-    headers: tuple[tuple[bytes, bytes], ...]  # to be passed on
+    headers: tuple[tuple[bytes, bytes], ...]  # to be forwarded to the node
     host: bytes
 
     @property
@@ -57,7 +60,7 @@
 
 
 def tokens(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> list[str]:
-    """The comma-separated words of all headers of a name."""
+    """The comma-separated words in all headers with this name."""
     return [
         word.strip().decode("latin-1")
         for key, value in headers
@@ -68,7 +71,7 @@
 
 
 def parse_upgrade(request: h11.Request) -> UpgradeRequest:
-    """The upgrade that a request asks for, or a `BadUpgrade`."""
+    """The upgrade that an HTTP request asks for. Raises `BadUpgrade` if it is not valid."""
     headers = list(request.headers)
     if "websocket" not in (word.lower() for word in tokens(headers, b"upgrade")) or "upgrade" not in (
         word.lower() for word in tokens(headers, b"connection")
@@ -84,10 +87,10 @@
         raise BadUpgrade(426, "only version 13", (("Sec-WebSocket-Version", "13"), ("Upgrade", "websocket")))
     keys = [value for key, value in headers if key == b"sec-websocket-key"]
     try:
-        fits = len(keys) == 1 and len(base64.b64decode(keys[0], validate=True)) == 16
+        is_valid = len(keys) == 1 and len(base64.b64decode(keys[0], validate=True)) == 16
     except binascii.Error:
-        fits = False
-    if not fits:
+        is_valid = False
+    if not is_valid:
         raise BadUpgrade(400, "Sec-WebSocket-Key is not 16 bytes in base64")
     host = next((value for key, value in headers if key == b"host"), b"")
     return UpgradeRequest(
@@ -104,7 +107,7 @@
 
 
 def accept_response(state: h11.Connection, opening: UpgradeRequest, protocol: str | None) -> bytes:
-    """101, with the subprotocol that the node has chosen."""
+    """The 101 response, with the subprotocol that the node has chosen."""
     headers = [
         (b"upgrade", b"websocket"),
         (b"connection", b"Upgrade"),
@@ -122,8 +125,8 @@
     headers: Iterable[tuple[str, str]] = (),
     retry_after_us: int = 0,
 ) -> bytes:
-    """A final answer. When to come back is told in whole seconds, as RFC 9110 10.2.3 has it, and in
-    milliseconds."""
+    """A final response that refuses the upgrade. The time to wait before a retry is given in whole seconds
+    (RFC 9110 10.2.3) and in milliseconds."""
     body = (why + "\n").encode()
     fields = [
         ("Content-Type", "text/plain"),
@@ -141,14 +144,14 @@
 
 
 class NodeHandshake:
-    """The handshake with a node: the same target and headers, a key of its own."""
+    """The upgrade handshake with a node: the client's target and headers, with a key of the gate's own."""
 
     def __init__(self, opening: UpgradeRequest, address: str, peer: str, head_bytes: int) -> None:
         self.key = base64.b64encode(os.urandom(16))
         self.protocols = opening.protocols
         self.state = h11.Connection(h11.CLIENT, max_incomplete_event_size=head_bytes)
-        forwarded = [value for key, value in opening.headers if key == b"x-forwarded-for"]
-        passed = [pair for pair in opening.headers if pair[0] != b"x-forwarded-for"]
+        forwarded_for = [value for key, value in opening.headers if key == b"x-forwarded-for"]
+        others = [pair for pair in opening.headers if pair[0] != b"x-forwarded-for"]
         self.request = h11.Request(
             method="GET",
             target=opening.target,
@@ -158,8 +161,8 @@
                 (b"connection", b"Upgrade"),
                 (b"sec-websocket-version", b"13"),
                 (b"sec-websocket-key", self.key),
-                *passed,
-                (b"x-forwarded-for", b", ".join([*forwarded, peer.encode()])),
+                *others,
+                (b"x-forwarded-for", b", ".join([*forwarded_for, peer.encode()])),
             ],
         )
 
@@ -167,7 +170,8 @@
         return (self.state.send(self.request) or b"") + (self.state.send(h11.EndOfMessage()) or b"")
 
     def read(self, piece: bytes) -> NodeAnswer | None:
-        """What the node answers, once its head is whole; h11 errors for what is no HTTP."""
+        """The node's answer, once its head is complete; None before that. Raises h11's errors for invalid
+        HTTP."""
         self.state.receive_data(piece)
         event = self.state.next_event()
         if event is h11.NEED_DATA:
@@ -181,7 +185,9 @@
                 or tokens(headers, b"sec-websocket-extensions")
                 or (protocol and (len(protocol) > 1 or protocol[0] not in self.protocols))
             ):
-                return NodeAnswer(502, None, b"", 0, "the node's answer fits no upgrade")
+                return NodeAnswer(
+                    502, None, b"", 0, "the node's 101 response does not match the upgrade request"
+                )
             return NodeAnswer(101, protocol[0] if protocol else None, self.state.trailing_data[0], 0, "")
         if isinstance(event, h11.Response):
             wait = next((value for key, value in event.headers if key == b"retry-after"), b"0")
@@ -191,15 +197,15 @@
             )
         if isinstance(event, h11.InformationalResponse):
             return None
-        return NodeAnswer(502, None, b"", 0, "the node ended the connection")
+        return NodeAnswer(502, None, b"", 0, "the node closed the connection before it answered")
 
 
 @dataclass(frozen=True, slots=True)
 class NodeAnswer:
-    """A node's answer to an upgrade; 101 stands, all else is its refusal."""
+    """A node's answer to an upgrade request: 101 accepts it, any other status refuses it."""
 
     status: int
     protocol: str | None
-    early: bytes  # what came behind the head
+    early: bytes  # bytes received after the head
     retry_after_us: int
     why: str
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -1,5 +1,5 @@
-"""The gate's side of its channel to the controller: one task, one connection at a time, from hello to its
-loss."""
+"""The gate's side of its channel to the controller. One task keeps one connection at a time and reconnects
+when it is lost."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 
 
 class Uplink:
-    """Joins, keeps the lease, reports, and hands on what is ordered."""
+    """Joins the controller, keeps the lease, sends reports, and passes table changes and plans to the
+    gate."""
 
     def __init__(self, gate: TableHost, address: str, secret: bytes) -> None:
         self.gate, self.address, self.secret = gate, address, secret
-        self.writer: asyncio.StreamWriter | None = None  # while it has joined
-        self.heartbeats_sent: dict[int, int] = {}  # number: when it was sent
+        self.writer: asyncio.StreamWriter | None = None  # set while the gate has joined
+        self.heartbeats_sent: dict[int, int] = {}  # number: time sent
         self.heartbeat_number = self.serial = 0
         self.boot = secrets.token_hex(8)
-        self.barriers_at: dict[int, int] = {}  # mark: when it came
+        self.barriers_at: dict[int, int] = {}  # mark: time received
 
     async def run(self) -> None:
-        """Again and again, with waits that double and are spread by the gate's chance."""
+        """Joins again and again. The waits between attempts double and are randomised."""
         limits, gate = self.gate.limits, self.gate
         wait_us = limits.retry_min_us
         while True:
-            begun = gate.clock.now()
+            started = gate.clock.now()
             try:
                 await self.join()
             except STREAM_ENDS as error:
                 gate.counters["uplink.lost"] += 1
                 gate.log.rate_limited(
-                    "no controller", address=self.address, why=f"{type(error).__name__} {error}"
+                    "controller connection lost", address=self.address, why=f"{type(error).__name__} {error}"
                 )
             finally:
                 if self.writer is not None:
@@ -42,7 +43,7 @@
                 self.writer = None
                 gate.steering.fences.restart()
                 self.barriers_at.clear()
-            lasted = gate.clock.now() - begun
+            lasted = gate.clock.now() - started
             wait_us = (
                 limits.retry_min_us
                 if lasted > 10 * limits.heartbeat_us
@@ -51,7 +52,7 @@
             await asyncio.sleep(wait_us * (0.5 + gate.steering.returns.draw()) / 1e6)
 
     async def join(self) -> None:
-        """One stream: challenge, hello, welcome; then whatever is told, until it ends."""
+        """One connection: challenge, hello, welcome; then all further messages until it ends."""
         gate, limits = self.gate, self.gate.limits
         reader, writer = await within(
             limits.connect_us,
@@ -63,7 +64,7 @@
             deadline = gate.clock.now() + limits.connect_us  # for both messages of the handshake
             challenge = await self.receive(reader, limits.connect_us)
             if not isinstance(challenge, wire.Challenge) or challenge.protocol != wire.PROTOCOL:
-                raise ValueError("it speaks another protocol")
+                raise ValueError("the controller sent no challenge of this protocol version")
             nonce, now = secrets.token_hex(16), gate.clock.now()
             steering, name = gate.steering, gate.settings.name
             hello = wire.hello_message(
@@ -79,21 +80,23 @@
             writer.write(wire.encode_line(hello))
             welcome = await self.receive(reader, deadline - gate.clock.now())
             if isinstance(welcome, wire.Refusal):
-                raise ValueError(f"refused: {welcome.why}")
+                raise ValueError(f"refused by the controller: {welcome.why}")
             if not isinstance(welcome, wire.Welcome) or not wire.verify_proof(
                 self.secret, welcome.proof, nonce, "controller"
             ):
-                raise ValueError("it does not hold the key")
+                raise ValueError("the controller did not prove that it holds the key")
             if steering.lease is not None:
                 steering.lease.length_us = min(limits.lease_us, welcome.lease_us)
             self.writer = writer
             self.heartbeats_sent.clear()
             gate.counters["uplink.joined"] += 1
-            gate.log.say("joined", controller=self.address)
+            gate.log.say("joined controller", controller=self.address)
             sending = asyncio.get_running_loop().create_task(self.send_heartbeats(writer))
             try:
                 while True:
-                    self.handle(await self.receive(reader, 4 * limits.heartbeat_us))  # beats are answered
+                    self.handle(
+                        await self.receive(reader, 4 * limits.heartbeat_us)
+                    )  # the controller answers each heartbeat
                     if sending.done():
                         sending.result()
             finally:
@@ -102,11 +105,11 @@
             writer.transport.abort()
 
     async def receive(self, reader: asyncio.StreamReader, wait_us: int) -> wire.FromController:
-        """The next message."""
+        """The next message from the controller."""
         return wire.CONTROLLER_DECODER.decode(await read_line(reader, wait_us, self.gate.limits.late_us))
 
     def handle(self, message: wire.FromController) -> None:
-        """What the controller says; a plan that makes no sense is refused whole, by name."""
+        """Handles a message of the controller. An invalid plan is refused as a whole and logged."""
         gate, now = self.gate, self.gate.clock.now()
         match message:
             case wire.Heartbeat(number):
@@ -129,10 +132,10 @@
                 if not gate.follow_plan(plan):
                     gate.counters["uplink.plans_old"] += 1
             case _:
-                raise ValueError(f"unasked {type(message).__name__}")
+                raise ValueError(f"unexpected message {type(message).__name__}")
 
     async def send_heartbeats(self, writer: asyncio.StreamWriter) -> None:
-        """Beats and reports, as long as the stream stands."""
+        """Sends heartbeats and reports as long as the connection is open."""
         gate, limits = self.gate, self.gate.limits
         reported = 0
         while True:
@@ -157,9 +160,11 @@
             await asyncio.sleep(limits.heartbeat_us / 1e6)
 
     def acknowledge(self, marks: list[int]) -> None:
-        """Marks whose tables rule here now; none on a stream that did not ask them."""
+        """Acknowledges barriers whose tables are in force now, if they were received on this connection."""
         now = self.gate.clock.now()
-        known = [(mark, now - self.barriers_at.pop(mark)) for mark in marks if mark in self.barriers_at]
-        if known and self.writer is not None:
-            self.gate.counters["uplink.answers"] += len(known)
-            self.writer.write(wire.encode_line(wire.BarrierAcks(known)))
+        acknowledged = [
+            (mark, now - self.barriers_at.pop(mark)) for mark in marks if mark in self.barriers_at
+        ]
+        if acknowledged and self.writer is not None:
+            self.gate.counters["uplink.answers"] += len(acknowledged)
+            self.writer.write(wire.encode_line(wire.BarrierAcks(acknowledged)))
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -1,8 +1,8 @@
-"""The channel between gates and their controller: JSON, one message a line; times are durations, so no
-clock is shared.
+"""The messages on the channel between gates and their controller: JSON, one message a line.
 
-What a message says is how things stand. So each may come twice or late: reports and plans are numbered,
-tables are compared when a stream begins, and nothing is a command that must be obeyed once.
+All times are durations, so the two sides need no common clock. A message describes state; no message is a
+command that must be carried out exactly once. So each message may arrive twice or late: reports and plans are
+numbered, and tables are compared when a stream begins.
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 
 
 class Challenge(msgspec.Struct, tag="challenge", frozen=True):
-    """The controller's first word: prove that you hold the key."""
+    """The controller's first message: the gate must prove that it holds the key, over this nonce."""
 
     nonce: str
     protocol: int = PROTOCOL
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """A gate joins, and tells what stands there."""
+    """A gate's request to join, with the tables, plan and drains that it has now."""
 
     name: str
-    boot: str  # another one for each process that has this name
+    boot: str  # differs for each process that runs under this name
     zone: str
     protocol: int
     slices: int
     nonce: str
     proof: str
     plan: tuple[int, int]
-    drains: dict[str, int]  # node: what is left of its time, us
+    drains: dict[str, int]  # node: time left until its deadline, us
     lines: dict[int, str]
     shares: dict[int, tuple[float, bool]]
     out: list[str]
@@ -53,45 +53,47 @@
 
 
 class Refusal(msgspec.Struct, tag="refusal", frozen=True):
-    """Why a gate may not join; it tries again later all the same."""
+    """The reason why a gate may not join. The gate tries again later all the same."""
 
     why: str
 
 
 class Heartbeat(msgspec.Struct, tag="beat", frozen=True):
-    """Either way: the gate's with a number, the controller's answer with the same one."""
+    """A heartbeat of the gate, or the controller's answer, which repeats the number."""
 
     number: int
 
 
 class Report(msgspec.Struct, tag="report", frozen=True):
-    """All that a gate holds: node, class: held, opened, messages and octets since the last report."""
+    """Everything that a gate holds. For each node and class: connections held, and connections opened,
+    messages and octets since the last report."""
 
     serial: int
     rows: dict[str, dict[str, tuple[int, int, int, int]]]
 
 
 class BarrierAcks(msgspec.Struct, tag="answer", frozen=True):
-    """Marks whose tables rule here, and what each took, us."""
+    """Acknowledges barriers: each mark whose tables are in force at the gate, and the time that took, us."""
 
     marks: list[tuple[int, int]]
 
 
 class Turn(msgspec.Struct, tag="turn", frozen=True):
-    """A turn's changes, applied whole, and its mark behind them."""
+    """The table changes of one controller turn, applied as a whole, and the mark of the barrier after
+    them."""
 
     lines: list[tuple[int, str | None]] = []
     shares: list[tuple[int, float, bool]] = []
     out: list[tuple[str, bool]] = []
-    nodes: list[tuple[str, str, str]] = []  # an empty address: forgotten
+    nodes: list[tuple[str, str, str]] = []  # an empty address removes the node
     mark: int | None = None
 
 
 class PlanMessage(msgspec.Struct, tag="plan", frozen=True):
     version: tuple[int, int]
-    # time left, us; points: in so many us, share
+    # each curve: time left until its deadline, us; points (time from now in us, share)
     curves: list[tuple[int, list[tuple[int, float]]]]
-    # node: place of its curve, held when that began, offset
+    # node: index of its curve, connections held when the curve began, offset
     ceilings: dict[str, tuple[int, int, float]]
     allotted: dict[str, tuple[int, float, int]]
     returns_per_s: float
@@ -111,15 +113,16 @@
 
 
 def proof(secret: bytes, *words: str) -> str:
-    """A keyed hash (BLAKE2b) over the other side's nonce and who proves; empty without a key."""
+    """A keyed hash (BLAKE2b) over the other side's nonce and the name of the side that proves; empty without
+    a key."""
     if not secret:
         return ""
     key = hashlib.blake2b(secret, digest_size=64).digest()
     return hashlib.blake2b("\0".join(words).encode(), key=key, digest_size=32).hexdigest()
 
 
-def verify_proof(secret: bytes, given: str, *words: str) -> bool:
-    return hmac.compare_digest(given, proof(secret, *words))
+def verify_proof(secret: bytes, received: str, *words: str) -> bool:
+    return hmac.compare_digest(received, proof(secret, *words))
 
 
 def hello_message(
@@ -127,8 +130,8 @@
     boot: str,
     zone: str,
     nonce: str,
-    proved: str,
-    stands: tables.Tables,
+    key_proof: str,
+    current: tables.Tables,
     plan: Version,
     drains: dict[str, int],
 ) -> Hello:
@@ -137,68 +140,68 @@
         boot,
         zone,
         PROTOCOL,
-        stands.slices,
+        current.slices,
         nonce,
-        proved,
+        key_proof,
         (plan.life, plan.number),
         drains,
-        dict(stands.owners),
-        {number: (share.share, share.shut) for number, share in stands.shares.items()},
-        sorted(stands.out),
-        {node: (address.address, address.zone) for node, address in stands.nodes.items()},
+        dict(current.owners),
+        {number: (share.share, share.shut) for number, share in current.shares.items()},
+        sorted(current.out),
+        {node: (address.address, address.zone) for node, address in current.nodes.items()},
     )
 
 
-def reported_tables(told: Hello) -> tables.Tables:
-    """The tables that a gate says it has."""
-    there = tables.Tables(told.slices)
-    there.owners = dict(told.lines)
-    there.shares = {number: tables.Share(*share) for number, share in told.shares.items()}
-    there.out = set(told.out)
-    there.nodes = {node: tables.Address(*address) for node, address in told.nodes.items()}
-    return there
+def reported_tables(hello: Hello) -> tables.Tables:
+    """The tables that a gate reports in its hello."""
+    reported = tables.Tables(hello.slices)
+    reported.owners = dict(hello.lines)
+    reported.shares = {number: tables.Share(*share) for number, share in hello.shares.items()}
+    reported.out = set(hello.out)
+    reported.nodes = {node: tables.Address(*address) for node, address in hello.nodes.items()}
+    return reported
 
 
 def turn_message(changes: Iterable[tables.Change], mark: int | None) -> Turn:
-    told = Turn([], [], [], [], mark)
+    message = Turn([], [], [], [], mark)
     for change in changes:
         match change:
             case tables.SetLine(number, owner):
-                told.lines.append((number, owner))
+                message.lines.append((number, owner))
             case tables.SetShare(number, share, shut):
-                told.shares.append((number, share, shut))
+                message.shares.append((number, share, shut))
             case tables.SetOut(node, out):
-                told.out.append((node, out))
+                message.out.append((node, out))
             case tables.SetNode(node, address):
-                told.nodes.append((node, *(address or ("", ""))))
-    return told
+                message.nodes.append((node, *(address or ("", ""))))
+    return message
 
 
-def table_changes(told: Turn) -> list[tables.Change]:
-    """In an order that is safe at every step: addresses and shutting out first, what is let in or forgotten
-    last."""
-    made: list[tables.Change] = [
-        tables.SetNode(node, tables.Address(address, zone)) for node, address, zone in told.nodes if address
+def table_changes(turn: Turn) -> list[tables.Change]:
+    """The changes in an order that is safe at every step: new addresses and nodes taken out come first; nodes
+    let in again and nodes removed come last."""
+    ordered: list[tables.Change] = [
+        tables.SetNode(node, tables.Address(address, zone)) for node, address, zone in turn.nodes if address
     ]
-    made += [tables.SetOut(node, True) for node, out in told.out if out]
-    made += [tables.SetLine(number, owner) for number, owner in told.lines]
-    made += [tables.SetShare(number, share, shut) for number, share, shut in told.shares]
-    made += [tables.SetOut(node, False) for node, out in told.out if not out]
-    made += [tables.SetNode(node, None) for node, address, _ in told.nodes if not address]
-    if told.mark is not None:
-        made.append(tables.Asked(told.mark))
-    return made
+    ordered += [tables.SetOut(node, True) for node, out in turn.out if out]
+    ordered += [tables.SetLine(number, owner) for number, owner in turn.lines]
+    ordered += [tables.SetShare(number, share, shut) for number, share, shut in turn.shares]
+    ordered += [tables.SetOut(node, False) for node, out in turn.out if not out]
+    ordered += [tables.SetNode(node, None) for node, address, _ in turn.nodes if not address]
+    if turn.mark is not None:
+        ordered.append(tables.Asked(turn.mark))
+    return ordered
 
 
 def plan_message(plan: Plan, now: int) -> PlanMessage:
-    """As durations from now; nodes that leave together share a curve."""
+    """The message for a plan, with times as durations from now. Nodes that leave together share a curve."""
     curves = list(dict.fromkeys(ceiling.curve for ceiling in plan.ceilings.values()))
-    places = {curve: place for place, curve in enumerate(curves)}
+    indexes = {curve: index for index, curve in enumerate(curves)}
     return PlanMessage(
         (plan.version.life, plan.version.number),
         [(curve.deadline_us - now, [(at - now, share) for at, share in curve.points]) for curve in curves],
         {
-            node: (places[ceiling.curve], ceiling.held, ceiling.offset)
+            node: (indexes[ceiling.curve], ceiling.held, ceiling.offset)
             for node, ceiling in plan.ceilings.items()
         },
         {node: (part.held, part.new_per_s, part.burst) for node, part in plan.allotted.items()},
@@ -208,39 +211,47 @@
     )
 
 
-def parse_plan(told: PlanMessage, now: int) -> Plan:
-    """As times of the gate. Odd figures are a ValueError: nothing of such a plan is followed."""
+def parse_plan(message: PlanMessage, now: int) -> Plan:
+    """The plan in a message, with times by the gate's clock. Figures out of bounds raise ValueError; then no
+    part of the plan is followed."""
     curves = []
-    for left, points in told.curves:
+    for left, points in message.curves:
         if any(not 0 <= share <= 1 for _, share in points) or any(
-            one[0] >= other[0] or one[1] < other[1] for one, other in pairwise(points)
+            earlier[0] >= later[0] or earlier[1] < later[1] for earlier, later in pairwise(points)
         ):
-            raise ValueError("a curve that does not sink")
+            raise ValueError("a curve whose shares rise, lie outside 0 to 1, or whose times do not increase")
         curves.append(Curve(tuple((now + within, share) for within, share in points), now + left))
     if any(
-        not 0 <= place < len(curves) or held < 0 or not 0 <= offset < 1
-        for place, held, offset in told.ceilings.values()
+        not 0 <= index < len(curves) or held < 0 or not 0 <= offset < 1
+        for index, held, offset in message.ceilings.values()
     ):
-        raise ValueError("a ceiling without a curve, or out of bounds")
+        raise ValueError("a ceiling that refers to no curve, or whose figures are out of bounds")
     ceilings = {
-        node: Ceiling(curves[place], held, offset) for node, (place, held, offset) in told.ceilings.items()
+        node: Ceiling(curves[index], held, offset) for node, (index, held, offset) in message.ceilings.items()
     }
-    allotted = {node: Allotment(*part) for node, part in told.allotted.items()}
+    allotted = {node: Allotment(*part) for node, part in message.allotted.items()}
     if any(part.held < 0 or not 0 <= part.new_per_s < 1e9 for part in allotted.values()):
-        raise ValueError("allotments below nothing or beyond bounds")
-    least, most = told.come_back_us
-    if not 0 <= least < most or not 0 < told.returns_per_s < 1e9:
-        raise ValueError("returns out of bounds")
+        raise ValueError("allotments that are negative or out of bounds")
+    least, most = message.come_back_us
+    if not 0 <= least < most or not 0 < message.returns_per_s < 1e9:
+        raise ValueError("return rate or return times out of bounds")
     return Plan(
-        Version(*told.version), ceilings, allotted, told.returns_per_s, least, most, frozenset(told.dead)
+        Version(*message.version),
+        ceilings,
+        allotted,
+        message.returns_per_s,
+        least,
+        most,
+        frozenset(message.dead),
     )
 
 
-def class_counts(told: Report) -> dict[str, dict[str, Counted]]:
-    """A report's rows; figures below nothing are a ValueError."""
+def class_counts(report: Report) -> dict[str, dict[str, Counted]]:
+    """The rows of a report. Negative figures raise ValueError."""
     rows = {
-        node: {name: Counted(*row) for name, row in by_class.items()} for node, by_class in told.rows.items()
+        node: {name: Counted(*row) for name, row in by_class.items()}
+        for node, by_class in report.rows.items()
     }
-    if any(min(row) < 0 for by_class in told.rows.values() for row in by_class.values()):
-        raise ValueError("counts below nothing")
+    if any(min(row) < 0 for by_class in report.rows.values() for row in by_class.values()):
+        raise ValueError("negative counts in a report")
     return rows
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -1,11 +1,13 @@
-"""Days of clients that hold connections through a real gate process until it is killed.
+"""Soak test: clients hold connections through a real gate process until it is killed.
 
-As in `soak.py`, each day draws faults of system calls, steps of the wall clock, pauses, signals in series and
-a crowd from its seed, and a server that drains now and then. The judge counts what the gate has read from
-each client: an upgrade that was read whole gets a status; whoever waits for an answer to a message gets it,
-or the end of the connection; no write is carried out twice.
+As in `soak.py`, each run ("day") draws from its seed: faults of system calls, steps of the wall clock,
+pauses, series of signals and a crowd of clients; here also a server that drains now and then. The checks use
+the number of bytes that the gate has read from each client. An upgrade request that was read whole gets a
+status. A client that waits for the answer to a message gets it, or the end of the connection. No write is
+carried out twice.
 
-By hand: `PYTHONPATH=. python tests/soak_gate.py --seeds 20 --seed 1000 --at-once 2`; 1 where one is broken.
+By hand: `PYTHONPATH=. python tests/soak_gate.py --seeds 20 --seed 1000 --at-once 2`. The exit code is 1 if
+any check fails.
 """
 
 from __future__ import annotations
@@ -28,7 +30,7 @@
 
 from lapispass.standins.nodes import CounterNode
 
-ANSWER_S = 3.0  # for a status, the answer to a message or an end, of time in which the process runs
+ANSWER_S = 3.0  # for a status, the answer to a message or the end; pauses of the process do not count
 HEAD_S = 1.0  # the gate's limit for the head of an upgrade
 SLOW_UPGRADE_S = 0.4
 PATHS = ("/board", "/till", "/desk")
@@ -47,7 +49,7 @@
 
 
 class SlowNode(CounterNode):
-    """A server that takes its time for each third upgrade: some are under way whenever the gate ends."""
+    """A server that is slow with every third upgrade, so that some are under way whenever the gate stops."""
 
     asked = 0
 
@@ -62,7 +64,7 @@
 
 @dataclass
 class GateDay(Day):
-    """One gate's life, and the servers behind it."""
+    """One run of a gate process, and the servers behind it."""
 
     file: Path = Path()
     nodes: list[CounterNode] = field(default_factory=list)
@@ -74,7 +76,7 @@
 
 
 class Client:
-    """One connection of a sound client."""
+    """One connection of a client that behaves correctly."""
 
     def __init__(self, day: GateDay, name: str) -> None:
         self.day, self.name, self.status, self.sent = day, name, b"", 0
@@ -91,7 +93,7 @@
         self.read_before = self.day.running.faults.bytes_read_from(self.port)
 
     async def in_time(self, work: Coroutine[Any, Any, bytes], what: str) -> bytes:
-        """What the gate owes, within `ANSWER_S`; pauses of its process do not count."""
+        """Waits `ANSWER_S` for an answer that the gate must give. Pauses of its process do not count."""
         day, loop, task = self.day, asyncio.get_running_loop(), asyncio.create_task(work)
         begun = loop.time()
         try:
@@ -105,7 +107,7 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def upgrade(self) -> bool:
-        """Asks for the upgrade in two pieces; whether it was granted."""
+        """Sends the upgrade request in two pieces. Whether the upgrade was accepted."""
         self.day.verdict.asked += 1
         cut = self.day.chance.randrange(1, len(self.request))
         self.writer.write(self.request[:cut])
@@ -118,12 +120,12 @@
         return self.status.startswith(b"HTTP/1.1 101 ")
 
     def note_time(self, begun: float) -> None:
-        """The slowest answer of the day."""
+        """Records the slowest answer of the run."""
         took_s = asyncio.get_running_loop().time() - begun - self.day.paused_s(begun)
         self.day.verdict.slowest_s = max(self.day.verdict.slowest_s, took_s)
 
     async def write(self) -> bool:
-        """A numbered write, and its answer; False where the gate has closed."""
+        """Sends a numbered write and checks its answer. False if the gate has closed the connection."""
         number = f"{self.name}-{self.sent}"
         self.sent += 1
         self.day.verdict.asked += 1
@@ -141,7 +143,7 @@
         self.writer.write(bytes((LAST | kind, 0x80 | len(payload), 0, 0, 0, 0)) + payload)
 
     async def answer(self) -> bytes:
-        """The next message; pings are answered, and a close frame is."""
+        """The next message; empty at a close frame. Pings and a close frame are answered."""
         message = b""
         while True:
             first, length = await self.reader.readexactly(2)
@@ -162,13 +164,13 @@
                 self.day.breach(f"a frame {first:#x} {payload!r}")
 
     def judge(self) -> None:
-        """An upgrade that was read whole has its status; called when the connection has ended."""
+        """Checks, when the connection has ended, that an upgrade request that was read whole got a status."""
         read = self.day.running.faults.bytes_read_from(self.port) - self.read_before
         if read >= len(self.request) and not self.status:
             self.day.breach(f"lost: an upgrade of {len(self.request)} bytes, {read} read, no status")
 
     async def live(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
-        """From the connection to its end."""
+        """Runs one connection to its end."""
         try:
             await self.connect()
         except OSError:
@@ -187,7 +189,7 @@
 
 
 async def converse(day: GateDay, name: str) -> None:
-    """One connection after the other, each kept until the gate ends it."""
+    """Opens one connection after the other and keeps each until the gate ends it."""
     lives = 0
     while not day.told_to_end:
         lives += 1
@@ -195,7 +197,7 @@
 
 
 async def upgrade_late(day: GateDay, name: str) -> None:
-    """Connections that ask for their upgrade after some silence, also while the gate ends."""
+    """Opens connections that send their upgrade request after some silence, also while the gate stops."""
     rounds = 0
     while not day.told_to_end:
         rounds += 1
@@ -207,7 +209,7 @@
 
 
 async def ended_soon(day: GateDay, life: Coroutine[Any, Any, None]) -> None:
-    """A client that goes after a while, except while the gate ends."""
+    """Runs a client that leaves after a while, except while the gate stops."""
     task = asyncio.create_task(life)
     await asyncio.wait((task,), timeout=1.5)
     if not day.told_to_end:
@@ -218,7 +220,7 @@
 
 
 async def crowd(day: GateDay, name: str) -> None:
-    """Hundreds at once."""
+    """Opens hundreds of connections at once."""
 
     async def one(number: int) -> None:
         await asyncio.sleep(day.chance.uniform(0, 0.3))
@@ -231,7 +233,7 @@
 
 
 async def misbehave(day: GateDay) -> None:
-    """Clients that send what nobody can read, or nothing: each is owed a status or a close."""
+    """Opens connections that send invalid bytes or nothing. Each must get a status or a close."""
 
     async def one(said: bytes) -> None:
         client = Client(day, "bad")
@@ -248,7 +250,7 @@
 
 
 async def drain(day: GateDay) -> None:
-    """One of the servers drains and comes back."""
+    """Drains one of the servers and takes it back."""
     while not day.told_to_end:
         await asyncio.sleep(day.chance.uniform(0.3, 1.0))
         day.write_file(day.chance.choice(("READY", "DRAINING")))
@@ -265,13 +267,13 @@
 
 
 def carried_twice(nodes: Sequence[CounterNode]) -> dict[str, int]:
-    """Numbers of writes that were carried out more than once, at all servers together."""
+    """The numbers of writes that were carried out more than once, over all servers."""
     carried = Counter(write.number for node in nodes for write in node.writes)
     return {number: count for number, count in carried.items() if count > 1}
 
 
 async def play_day(seed: int, folder: Path) -> Verdict:
-    """A day, with two gates at one address, one after the other."""
+    """Runs two gates at one address, one after the other."""
     chance, verdict = random.Random(seed), Verdict(seed)
     faults, address = Faults(folder / "faults"), free_address()
     is_crowded = chance.random() < 0.4
@@ -299,7 +301,7 @@
 
 
 def play_seed(seed: int) -> Verdict:
-    """A day on a loop of its own."""
+    """Runs one seed on an event loop of its own."""
     with TemporaryDirectory(prefix="lapispass-soak-") as folder:
         return asyncio.run(play_day(seed, Path(folder)))
 
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -1,4 +1,4 @@
-"""A gate in the test's own loop, in front of stand-in nodes; short times."""
+"""Gates in the test's own event loop, in front of stand-in nodes and with short time limits."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 async def take_upgrade(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Answers an upgrade as a node does; false, with nothing said, for any other request."""
+    """Accepts an upgrade as a node does. False, without an answer, for any other request."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     lines = (line.partition(": ") for line in head.split("\r\n"))
     key = next((value for name, _, value in lines if name.lower() == "sec-websocket-key"), None)
@@ -76,7 +76,7 @@
 def standalone_file(
     nodes: dict[str, tuple[str, str]], grace_ms: int = 600, more: str = "", bounds: str = ""
 ) -> str:
-    """An operator file for a gate that stands alone; each node by its address and state."""
+    """An operator file for a standalone gate, with the address and state of each node."""
     lines = [
         f'node {{ id: "{name}" address: "{address}" state: {state} }}'
         for name, (address, state) in nodes.items()
@@ -90,18 +90,18 @@
 
 
 class StandaloneGate:
-    """A gate that stands alone, and its nodes."""
+    """A standalone gate and its nodes."""
 
     def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **how: Any) -> None:
         self.gate, self.nodes, self.file, self.how = gate, nodes, file, how
         self.states = dict.fromkeys(nodes, "READY")
 
     def write(self) -> None:
-        told = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
-        self.file.write_text(standalone_file(told, **self.how))
+        listed = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
+        self.file.write_text(standalone_file(listed, **self.how))
 
     def set(self, **states: str) -> None:
-        """Says anew how nodes stand, and has the gate read it."""
+        """Changes the states of nodes in the file and has the gate read it."""
         self.states.update(states)
         self.write()
         self.gate.reload()
@@ -118,7 +118,7 @@
     nodes: dict[str, CounterNode] | None = None,
     **how: Any,
 ) -> AsyncIterator[StandaloneGate]:
-    """Nodes `n0`, `n1` ... (or those given) and a gate in front of them."""
+    """Nodes `n0`, `n1` ... (or those given) and a standalone gate in front of them."""
     nodes = (
         nodes if nodes is not None else {f"n{number}": CounterNode(f"n{number}") for number in range(count)}
     )
@@ -155,7 +155,8 @@
 
 
 class Fleet:  # one test, one loop
-    """A controller with its desk, the platform's stand-ins, nodes, and gates, all in the test's loop."""
+    """A controller with its server for gates, stand-ins for registry and relay, nodes and gates, all in the
+    test's event loop."""
 
     def __init__(
         self,
@@ -179,7 +180,7 @@
         self.gate_server: GateServer
         self.port = 0
         self.secret = self.path / "key"
-        self.extra = ""  # further fronts of the controller's file
+        self.extra = ""  # further endpoints in the controller's file
 
     async def start(self) -> None:
         self.secret.write_bytes(b"a key of a test, long enough")
@@ -195,7 +196,7 @@
         await self.controller()
 
     async def controller(self) -> None:
-        """Starts one, or one anew under its old address."""
+        """Starts the controller, or restarts it at its former address."""
         listed = " ".join(f'name: "{name}"' for name in self.names)
         file = self.path / "controller.textproto"
         file.write_text(
@@ -240,7 +241,7 @@
         return gate
 
     async def kill_gate(self, name: str) -> None:
-        """As a killed process: what it holds is reset, nothing is said."""
+        """Ends a gate as if its process were killed: its connections are reset without a close frame."""
         gate, task = self.gates.pop(name), self.tasks.pop(name)
         for tunnel in list(gate.tunnels.values()):
             tunnel.client.writer.transport.abort()
@@ -257,7 +258,7 @@
         self.registry.change(Member(name, node.address, node.zone, phase, **more))
 
     def breaches(self) -> list[Breach]:
-        """Rule 2 on what the nodes saw and the store was told."""
+        """Breaches of rule 2, by what the nodes received and what was published."""
         writes = [Carried(*write) for node in self.nodes.values() for write in node.writes]
         return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.told.slices))
 
@@ -286,7 +287,7 @@
     limits: Limits = SHORT_LIMITS,
     extra: str = "",
 ) -> AsyncIterator[Fleet]:
-    """A controller, `nodes`, and gates `g0`, `g1` ..."""
+    """A controller, nodes, and gates `g0`, `g1` ..."""
     if isinstance(nodes, int):
         nodes = {f"n{number}": CounterNode(f"n{number}") for number in range(nodes)}
     env = Fleet(path, nodes, grace_ms, bounds, told, limits)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,5 @@
-"""A gate on loopback: `websockets` as an independent client and server, and raw peers that misbehave."""
+"""A standalone gate on loopback, with `websockets` as an independent client and server, and with raw peers
+that misbehave."""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 
 
 async def exchange(env: StandaloneGate, sent: bytes) -> str:
-    """Raw bytes to the gate; all that comes back until it ends the connection."""
+    """Sends raw bytes to the gate; returns all that comes back until it ends the connection."""
     reader, writer = await asyncio.open_connection(*env.gate.address.split(":"))
     writer.write(sent)
     try:
@@ -52,7 +53,7 @@
         assert env.nodes[node].ends[0].code != 1006
 
 
-async def test_a_movable_connection_moves_without_its_screens_notice(tmp_path: Path) -> None:
+async def test_a_movable_connection_moves_without_its_clients_notice(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path) as env, connect(env.url("/board")) as board:
         await board.send("one")
         assert await board.recv() == "one"
@@ -92,7 +93,7 @@
 async def raw(
     env: StandaloneGate, target: str = "/board"
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A screen that stands, byte by byte in the test's hands."""
+    """A client whose upgrade is complete. The test reads and writes its bytes itself."""
     reader, writer = await asyncio.open_connection(*env.gate.address.split(":"), limit=1 << 26)
     writer.write(UPGRADE.replace(b"/board", target.encode()))
     head = await reader.readuntil(b"\r\n\r\n")
@@ -101,7 +102,7 @@
 
 
 def frame(first: int, payload: bytes, masked: bool = True) -> bytes:
-    """A frame of RFC 6455 by hand."""
+    """Builds a frame (RFC 6455 5.2)."""
     size = len(payload)
     head = bytes([first]) + (
         bytes([size | masked << 7]) if size < 126 else bytes([126 | masked << 7]) + struct.pack(">H", size)
@@ -111,22 +112,22 @@
 
 
 async def closed_with(reader: asyncio.StreamReader) -> int:
-    """The code of the close frame that comes, whatever comes before it."""
+    """The code of the close frame that is received, whatever is received before it."""
     data = await asyncio.wait_for(reader.read(), 5)
-    place = data.rfind(b"\x88")
-    assert place >= 0, data[-50:]
-    return int.from_bytes(data[place + 2 : place + 4], "big")
+    index = data.rfind(b"\x88")
+    assert index >= 0, data[-50:]
+    return int.from_bytes(data[index + 2 : index + 4], "big")
 
 
 @pytest.mark.parametrize(
     ("sent", "code"),
     [
-        (frame(0x83, b"x"), 1002),  # an opcode that does not exist
-        (frame(0xC1, b"x"), 1002),  # a bit of an extension that nobody agreed on
+        (frame(0x83, b"x"), 1002),  # an undefined opcode
+        (frame(0xC1, b"x"), 1002),  # a reserved bit, for an extension that was not negotiated
         (frame(0x81, b"x", masked=False), 1002),
-        (frame(0x80, b"x"), 1002),  # goes on with no message
+        (frame(0x80, b"x"), 1002),  # a continuation frame without a message
         (frame(0x81, b"\xff\xfe"), 1007),
-        (frame(0x09, b"x"), 1002),  # a ping in fragments
+        (frame(0x09, b"x"), 1002),  # a fragmented ping
         (frame(0x88, b"\x03"), 1002),
         (frame(0x88, struct.pack(">H", 999)), 1002),
         (frame(0x88, struct.pack(">H", 4000) + b"bye"), 4000),
@@ -154,15 +155,17 @@
         (UPGRADE.replace(b"AAAAAAAAAAAAAAAAAAAAAA==", b"short"), "400"),
         (UPGRADE.replace(b"GET", b"POST"), "400"),
         (UPGRADE.replace(b"/board", b"/nowhere"), "404"),
-        (UPGRADE.replace(b"/board", b"/till"), "400"),  # a writer without a key
+        (UPGRADE.replace(b"/board", b"/till"), "400"),  # a class that writes needs a key
         (UPGRADE.replace(b"/board", b"/till?key=a&key=b"), "400"),
         (b"\x16\x03\x01\x02\x00\x01", "400"),
         (b"SSH-2.0-x\r\n\r\n", "400"),
         (b"GET /board HTTP/1.1\r\nX: " + b"y" * 40_000, "400"),
-        (b"GET /board HTTP/1.1\r\nHost: x\r\n", "408"),  # a handshake that never ends
+        (b"GET /board HTTP/1.1\r\nHost: x\r\n", "408"),  # a head that never ends
     ],
 )
-async def test_strangers_are_answered_and_closed_in_time(tmp_path: Path, sent: bytes, status: str) -> None:
+async def test_invalid_upgrade_requests_are_answered_and_closed_in_time(
+    tmp_path: Path, sent: bytes, status: str
+) -> None:
     async with standalone_gate(tmp_path, 1) as env:
         answer = await asyncio.wait_for(exchange(env, sent), 2)
         assert answer.startswith(f"HTTP/1.1 {status}"), answer
@@ -189,7 +192,7 @@
         writer.close()
 
 
-async def test_a_screen_that_never_reads_is_ended_and_memory_stays_bounded(tmp_path: Path) -> None:
+async def test_a_client_that_never_reads_is_ended_and_memory_stays_bounded(tmp_path: Path) -> None:
     async with standalone_gate(
         tmp_path, 1, replace(SHORT_LIMITS, buffer_bytes=64 << 10, ping_us=60_000 * MS)
     ) as env:
@@ -225,7 +228,7 @@
         assert grown < 300_000, grown
 
 
-async def test_a_screen_that_is_gone_without_a_close_takes_its_nodes_connection_along(tmp_path: Path) -> None:
+async def test_a_client_that_is_gone_without_a_close_ends_its_nodes_connection(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
         for way in ("abort", "half"):
             _, writer = await raw(env)
@@ -239,7 +242,7 @@
             writer.close()
 
 
-async def test_a_screen_that_answers_no_ping_is_ended(tmp_path: Path) -> None:
+async def test_a_client_that_answers_no_ping_is_ended(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
         _, writer = await raw(env)
         await until(lambda: env.gate.counters["screens.silent"])
@@ -251,7 +254,8 @@
 
 
 async def test_a_node_that_dies_without_a_close(tmp_path: Path) -> None:
-    """A movable connection with nothing unproven goes on elsewhere; a till is told to come back."""
+    """A movable connection whose node had read everything goes on at another node. A connection of the class
+    "till" is closed with a time to come back."""
     async with standalone_gate(tmp_path, 2) as env:
         board = await connect(env.url("/board"))
         node = next(name for name, node in env.nodes.items() if node.held)
@@ -274,7 +278,7 @@
         board = await connect(env.url("/board"))
         node = next(name for name, node in env.nodes.items() if node.held)
         other = next(name for name in env.nodes if name != node)
-        env.nodes[node].heard = lambda _: env.nodes[node].die()  # reads it, and dies
+        env.nodes[node].heard = lambda _: env.nodes[node].die()  # reads the message, and dies
         await board.send("once")
         with pytest.raises(ConnectionClosed):
             await board.recv()
@@ -297,7 +301,7 @@
         assert (board.close_code, board.close_reason) == (4001, "closed for today")
 
 
-async def test_a_node_that_refuses_is_tried_elsewhere_only_by_a_screen_without_a_key(tmp_path: Path) -> None:
+async def test_a_node_that_refuses_is_tried_elsewhere_only_by_a_client_without_a_key(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 2) as env:
         env.nodes["n0"].refuses = HTTPStatus.SERVICE_UNAVAILABLE
         boards = [await connect(env.url("/board")) for _ in range(6)]
@@ -308,7 +312,9 @@
                 boards.append(await connect(env.url(f"/till?key={number}")))
             except InvalidStatus as error:
                 statuses.add(error.response.status_code)
-                assert int(error.response.headers["Retry-After"]) >= 2  # the node's word counts too
+                assert (
+                    int(error.response.headers["Retry-After"]) >= 2
+                )  # the node's Retry-After header counts too
         assert statuses == {503} and not env.nodes["n0"].held
         env.nodes["n0"].refuses = HTTPStatus.FORBIDDEN  # final: no other node is asked
         with pytest.raises(InvalidStatus) as caught:
@@ -320,7 +326,7 @@
 
 
 def at(party: Party) -> CounterNode:
-    """The node that a gate finds at a party's address."""
+    """A node entry with the address of a scripted peer."""
     node = CounterNode("n0")
     node.address = party.address
     return node
@@ -345,8 +351,8 @@
         writer.write(answer or b"")
 
     async with Party(meet) as node, standalone_gate(tmp_path, nodes={"n0": at(node)}) as env:
-        told = await asyncio.wait_for(exchange(env, UPGRADE), 2)
-        assert told.startswith("HTTP/1.1 503") and "Retry-After" in told
+        response = await asyncio.wait_for(exchange(env, UPGRADE), 2)
+        assert response.startswith("HTTP/1.1 503") and "Retry-After" in response
         assert not env.gate.steering.coming
 
 
@@ -374,8 +380,9 @@
             assert till.close_code == code
 
 
-async def test_what_is_cut_reaches_nobody_by_the_kernels_hand(tmp_path: Path) -> None:
-    """Rule 2: a node that stood still reads on after the cut; it gets what it had, not what we still held."""
+async def test_unsent_bytes_are_dropped_in_the_kernel_after_a_reset(tmp_path: Path) -> None:
+    """Rule 2: a node that was stalled and reads on after the reset gets the bytes that it had received, not
+    those that were still unsent."""
     got, go_on = bytearray(), asyncio.Event()
 
     async def stalled(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -393,7 +400,7 @@
     reader, writer = await connect_evented(address, 1024, asyncio.Event())
     side = Side("node", reader, writer, b"", 0, 1 << 16)
     sent = 0
-    while writer.transport.get_write_buffer_size() == 0:  # until the kernel takes no more
+    while writer.transport.get_write_buffer_size() == 0:  # until the kernel's buffers are full
         side.send(BytesMessage(data=bytes(100_000)))
         sent += 100_000
     side.reset()
@@ -409,7 +416,8 @@
 
 @pytest.mark.time_limit(180)
 async def test_nothing_is_lost_or_doubled_in_moves_under_a_stream_of_messages(tmp_path: Path) -> None:
-    """Both ways at once: echoes of numbered messages come back in order, through four moves."""
+    """Numbered messages flow in both directions through at least four moves; all echoes come back in
+    order."""
     async with standalone_gate(tmp_path, 2, grace_ms=1000) as env, connect(env.url("/board")) as board:
         got: list[str] = []
 
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -1,4 +1,4 @@
-"""Every upgrade that a gate has read gets its final answer, whatever ends it."""
+"""Every upgrade request that a gate has read gets a final answer, whatever ends it."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A node that takes an upgrade and never answers it."""
+    """A node that reads an upgrade request and never answers it."""
     while await reader.read(1000):
         pass
 
 
-async def everything(reader: asyncio.StreamReader) -> bytes:
-    """What comes until the end, or why it ended otherwise."""
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
+    """Reads until the end of the connection; if it breaks, returns the error as text."""
     try:
         return await asyncio.wait_for(reader.read(), 3)
     except OSError as error:
@@ -38,7 +38,7 @@
 
 
 async def test_a_gate_that_ends_answers_upgrades_under_way(tmp_path: Path) -> None:
-    # They were cut three seconds later, without a word.
+    # Upgrades under way were once cut three seconds after the stop, without an answer.
     faults, address = Faults(tmp_path / "faults"), free_address()
     file = tmp_path / "operator.textproto"
     async with Party(silent) as node:
@@ -48,29 +48,29 @@
             writer.write(UPGRADE)
             await asyncio.sleep(0.3)
             gate.signal(signal.SIGTERM)
-            said = await everything(reader)
+            answer = await read_to_end(reader)
             writer.close()
-            assert said.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in said
+            assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in answer
             assert await gate.ended() == 0
 
 
 async def test_refusals_are_whole_where_writes_are_short_and_the_client_has_ended_its_side(
     tmp_path: Path,
 ) -> None:
-    # The connection was aborted as soon as the client's end was read, with the answer unsent.
+    # The connection was once aborted as soon as the client's end of input was read, with the answer unsent.
     faults, address, bad = Faults(tmp_path / "faults"), free_address(), {}
     file = tmp_path / "operator.textproto"
     file.write_text(FILE.format(listen="{}:{}".format(*address), node="127.0.0.1:1"))
     async with process(("gate", "-o", str(file)), faults, address, "event=listening", {}) as gate:
         for error in (SHORT, errno.EINTR, errno.EAGAIN):
-            for said, status in ((UPGRADE, b"503"), (b"GET /odd HTTP/1.1\r\nHost: x\r\n\r\n", b"426")):
+            for request, status in ((UPGRADE, b"503"), (b"GET /odd HTTP/1.1\r\nHost: x\r\n\r\n", b"426")):
                 faults.set(Call.SEND, error, thousandths=900 if error == SHORT else 500)
                 reader, writer = await gate.connect()
-                writer.write(said)
+                writer.write(request)
                 writer.write_eof()
-                got = await everything(reader)
-                if not got.startswith(b"HTTP/1.1 " + status) or not got.endswith(b"\n"):
-                    bad[names(error), status] = got
+                answer = await read_to_end(reader)
+                if not answer.startswith(b"HTTP/1.1 " + status) or not answer.endswith(b"\n"):
+                    bad[names(error), status] = answer
                 faults.clear(Call.SEND)
                 writer.close()
     assert not bad
@@ -79,7 +79,7 @@
 async def test_an_upgrade_beyond_those_that_can_be_under_way_is_refused_with_when_to_come_back(
     tmp_path: Path,
 ) -> None:
-    # It was reset.
+    # Such a connection was once reset without an answer.
     async with standalone_gate(
         tmp_path, 1, replace(SHORT_LIMITS, handshakes_at_once=1, handshake_us=5_000_000)
     ) as env:
@@ -88,7 +88,7 @@
         await asyncio.sleep(0.1)
         reader, second = await asyncio.open_connection(host, int(port))
         second.write(UPGRADE)
-        said = await everything(reader)
+        answer = await read_to_end(reader)
         first.close()
         second.close()
-        assert said.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in said
+        assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in answer
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -1,5 +1,5 @@
-"""Gates, their controller and counter nodes together: drains, handovers and failures, judged by what nodes
-saw."""
+"""Gates, their controller and stand-in nodes together: drains, handovers and failures, judged by what the
+nodes received."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 async def boards(env: Fleet, count: int, gate: str = "g0") -> list[ClientConnection]:
-    """Quiet screens, opened as fast as they are let in."""
+    """Opens connections of the class "board" that send nothing, as fast as they are admitted."""
     held: list[ClientConnection] = []
     while len(held) < count:
         try:
@@ -50,7 +50,7 @@
     return [Ended(end.at_us, end.node, end.code) for name in names for end in env.nodes[name].ends]
 
 
-async def test_a_drain_told_by_the_registry_moves_writers_after_the_handover(tmp_path: Path) -> None:
+async def test_a_drain_in_the_registry_moves_writers_after_the_handover(tmp_path: Path) -> None:
     async with fleet(tmp_path) as env:
         key = key_at(env, "n0")
         async with connect(env.url("g0", f"/desk?key={key}")) as desk:
@@ -59,7 +59,7 @@
             assert env.nodes["n0"].writes
             env.list("n0", "Terminating")
             await until(lambda: env.relay.owners.get(slice_of(key, 12)) is None)
-            await desk.send(f"w {key} 2")  # into the empty step: it waits for the new owner
+            await desk.send(f"w {key} 2")  # while the slice has no owner: the message waits for the new one
             assert await desk.recv() == "ok 2"
             assert not env.nodes["n0"].held
             assert sorted(write.number for node in env.nodes.values() for write in node.writes) == [
@@ -75,8 +75,8 @@
     async with fleet(tmp_path, 5, grace_ms=2500, bounds=ROOMY) as env:
         held = await boards(env, 200)
         leaving = sorted(env.nodes, key=lambda name: -len(env.nodes[name].held))[:2]
-        standing = sum(len(env.nodes[name].held) for name in leaving)
-        assert standing > 50
+        held_there = sum(len(env.nodes[name].held) for name in leaving)
+        assert held_there > 50
         begun = clock_us()
         for name in leaving:
             env.list(name, "Terminating")
@@ -84,13 +84,13 @@
         deadlines = dict.fromkeys(leaving, begun + 2_500 * MS)
         left = {name: len(env.nodes[name].held) for name in leaving}
         ends = ends_at(env, *leaving)
-        assert drains(ends, left, deadlines, 0) == [] and len(ends) == standing
+        assert drains(ends, left, deadlines, 0) == [] and len(ends) == held_there
         thirds = Counter(min(2, (end.at_us - begun) // (650 * MS)) for end in ends)
-        assert min(thirds[0], thirds[1], thirds[2]) > standing // 6, (
+        assert min(thirds[0], thirds[1], thirds[2]) > held_there // 6, (
             thirds
         )  # spread, not at once or at the end
-        assert env.gates["g0"].counters["moves.done"] == standing
-        assert all(board.state.name == "OPEN" for board in held)  # no screen noticed
+        assert env.gates["g0"].counters["moves.done"] == held_there
+        assert all(board.state.name == "OPEN" for board in held)  # no client noticed
         for board in held:
             await board.close()
 
@@ -105,7 +105,7 @@
         await cold.start(cold=True)
         env.nodes["n3"] = cold
         env.list("n3", "Ready", up_since_ms=time.time_ns() // 1_000_000)
-        for name in ("n0", "n1", "n2"):  # all but the cold one leave
+        for name in ("n0", "n1", "n2"):  # all nodes but the cold one leave
             env.list(name, "Terminating")
         await until(lambda: not any(nodes[name].held for name in ("n0", "n1", "n2")), 15)
         peaks = {name: max(node.peak_new, node.peak_held) for name, node in env.nodes.items()}
@@ -143,7 +143,7 @@
         await until(lambda: not env.nodes["n0"].held)
         assert clock_us() < begun + 3_000 * MS
         assert all(board.state.name == "OPEN" for board in stays)
-        # its lease has run out: handovers go on without it
+        # the dead gate's lease has ended: handovers go on without it
         await until(lambda: all(o != "n0" for o in env.relay.owners.values()) and len(env.relay.owners) == 12)
         for board in stays:
             await board.close()
@@ -170,7 +170,7 @@
             await board.close()
 
 
-async def test_screens_that_are_closed_come_back_at_different_times_and_write_nothing_twice(
+async def test_clients_that_are_closed_come_back_at_different_times_and_write_nothing_twice(
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path, 3, 2, grace_ms=2500, bounds=ROOMY) as env:
@@ -189,8 +189,8 @@
         ends = [end for screen in screens for end in screen.ends if end.reason]
         assert ends and all(end.code == 1012 for end in ends)
         back = sorted(end.at_us + 1000 * int(end.reason.rpartition("=")[2]) for end in ends)
-        # Tills that wait to write go as soon as their slice has an owner, so closes may come together;
-        # the instants at which their screens come back differ all the same.
+        # Connections that wait to write are closed as soon as their slice has an owner, so several may be
+        # closed together. The times at which their clients come back differ all the same.
         assert len(set(back)) >= 0.9 * len(back), back
         written = [write.number for node in env.nodes.values() for write in node.writes]
         assert len(written) == len(set(written)) > 40
@@ -198,12 +198,12 @@
         assert answered <= set(written)
 
 
-async def test_a_node_that_does_not_read_holds_up_the_mark_until_it_is_cut(tmp_path: Path) -> None:
-    """Rule 2 through a tunnel: bytes that wait in the kernel for a stalled node are dropped before the
-    answer."""
+async def test_a_node_that_does_not_read_delays_the_barrier_until_it_is_cut(tmp_path: Path) -> None:
+    """Rule 2 in a tunnel: bytes that wait in the kernel for a stalled node are dropped before the barrier is
+    acknowledged."""
 
     async def stall(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Takes the upgrade, and reads no further."""
+        """Accepts the upgrade and reads no further."""
         if await take_upgrade(reader, writer):
             await asyncio.sleep(20)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -243,7 +243,7 @@
             await env.kill_controller()
             await until(lambda: not gate.steering.writable)
             await till.send(f"w {key} 2")
-            await board.send("still")  # reads and boards go on
+            await board.send("still")  # connections of a class that does not write go on
             assert await board.recv() == "still"
             await until(lambda: any(held.waiting for held in gate.steering.book))
             assert len(env.nodes["n1"].writes) == 1
@@ -252,7 +252,7 @@
         assert env.breaches() == []
 
 
-async def test_a_plan_that_comes_late_twice_or_spoilt_does_no_harm(tmp_path: Path) -> None:
+async def test_an_outdated_or_malformed_plan_does_no_harm(tmp_path: Path) -> None:
     async with fleet(tmp_path, 2) as env:
         gate = env.gates["g0"]
         assert gate.uplink is not None
@@ -262,14 +262,14 @@
         gate.uplink.handle(wire.plan_message(old, now))
         assert gate.counters["uplink.plans_old"] == 1
         version = (gate.steering.plan.version.life, gate.steering.plan.version.number + 1)
-        for points, place, returns in (
+        for points, index, returns in (
             ([(0, 0.5), (0, 0.4)], 0, 5.0),
             ([(0, 2.0)], 0, 5.0),
             ([(0, 0.5)], 1, 5.0),
             ([], 0, -1.0),
         ):
             bad = wire.PlanMessage(
-                version, [(1000, points)], {"n0": (place, 5, 0.5)}, {}, returns, (1, 2), []
+                version, [(1000, points)], {"n0": (index, 5, 0.5)}, {}, returns, (1, 2), []
             )
             gate.uplink.handle(bad)
         assert gate.counters["uplink.plans_refused"] == 4 and not gate.steering.plan.ceilings
@@ -289,7 +289,7 @@
         b'{"type":"hello","name":"g9"}\n',
     ],
 )
-async def test_strangers_at_the_desk_are_turned_away(tmp_path: Path, line: bytes) -> None:
+async def test_unidentified_connections_to_the_gate_server_are_rejected(tmp_path: Path, line: bytes) -> None:
     async with fleet(tmp_path, 2) as env:
         reader, writer = await asyncio.open_connection("127.0.0.1", env.port)
         writer.write(line)
@@ -311,7 +311,7 @@
         assert env.service.counters["gates.joined"] == 0
 
 
-async def test_the_held_work_reaches_the_module_and_a_dead_gates_is_forgotten(tmp_path: Path) -> None:
+async def test_held_load_reaches_the_controller_and_that_of_a_dead_gate_is_forgotten(tmp_path: Path) -> None:
     async with fleet(tmp_path, 2, 2, bounds="connections: 40 new_per_s: 1000 burst: 100") as env:
         held = await boards(env, 30, "g0")
         controller = env.service.controller
@@ -339,7 +339,7 @@
 
 
 async def test_xds_clients_beside_the_platforms_controller(tmp_path: Path) -> None:
-    """The same turns reach the relay's proxies, gates and xDS clients."""
+    """The same turns of the controller reach the relay's proxies, gates and xDS clients."""
     async with fleet(tmp_path, 2, extra='xds { listen: "127.0.0.1:0" }') as env:
         front = next(front for front in env.service.beside if isinstance(front, Beside))
         await until(lambda: front.desk.address)
@@ -354,7 +354,8 @@
 
 
 async def test_a_till_whose_message_waits_is_closed_in_order_and_at_once(tmp_path: Path) -> None:
-    """Found by reading: its close was read only behind the message, which went nowhere any more."""
+    """The client's close frame was once read only after the waiting message, which could not be sent any
+    more."""
     async with fleet(tmp_path) as env:
         key = key_at(env, "n0")
         async with connect(env.url("g0", f"/till?key={key}")) as till:
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -1,4 +1,5 @@
-"""Short days of the gate's soak; `soak_gate.py` says how to start the long run by hand."""
+"""Short runs of the gate's soak test, and tests of its checks. `soak_gate.py` says how to start a long
+run."""
 
 from __future__ import annotations
 
--- a/tests/test_stream_timers.py
+++ b/tests/test_stream_timers.py
@@ -1,4 +1,4 @@
-"""A process that stood still reads what has come before it gives a peer up."""
+"""A process that was stalled reads the input that has arrived before a time-out counts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
 
 
 async def test_a_gates_stream_outlives_a_process_that_stood_still(tmp_path: Path) -> None:
-    # The timer won over the beat that had come: the gate joined anew, and its lease was counted.
+    # The time-out once won over a heartbeat that had arrived: the gate had to join anew, and the controller
+    # waited for its lease to end.
     async with fleet(tmp_path, 2) as env:
         uplink, counters = env.gates["g0"].uplink, env.service.counters
         assert uplink is not None and uplink.writer is not None
@@ -42,7 +43,7 @@
 
 @asynccontextmanager
 async def standalone_gate(folder: Path, nodes: dict[str, str]) -> AsyncIterator[Gate]:
-    """A gate that stands alone, with nodes at these addresses."""
+    """A standalone gate with nodes at these addresses."""
     file = folder / "operator.textproto"
     file.write_text(standalone_file({name: (address, "READY") for name, address in nodes.items()}))
     gate = Gate(operator.read(file), 1, SHORT_LIMITS)
@@ -57,7 +58,7 @@
 
 
 def answer_slowly(listener: socket.socket, after_s: float, answer: bytes) -> None:
-    """Answers one call, from another thread: the loop of the test stands still."""
+    """Answers one connection from another thread, since the test stalls its event loop."""
     connection, _ = listener.accept()
     with connection:
         connection.recv(65536)
@@ -67,7 +68,7 @@
 
 
 async def test_an_answer_of_the_coordination_service_that_has_come_is_taken() -> None:
-    # It counted as unknown: whether the lease was granted.
+    # Such a call once timed out, and it was unknown whether the lease had been granted.
     with socket.create_server(("127.0.0.1", 0)) as listener:
         granted = b'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{"ID":"7"}'
         thread = threading.Thread(target=answer_slowly, args=(listener, 0.1, granted))
@@ -84,7 +85,7 @@
 
 
 async def test_the_answer_of_a_node_that_has_come_is_taken(tmp_path: Path) -> None:
-    # The node counted as failing, and its refusal passed for a lack of nodes.
+    # The node once counted as failing, and its refusal was reported as a lack of nodes.
     with socket.create_server(("127.0.0.1", 0)) as listener:
         refusal = b"HTTP/1.1 403 Forbidden\r\nContent-Length: 0\r\n\r\n"
         thread = threading.Thread(target=answer_slowly, args=(listener, 0.1, refusal))
@@ -94,27 +95,27 @@
             writer.write(UPGRADE)
             await asyncio.sleep(0.05)
             time.sleep(SHORT_LIMITS.upgrade_us / 1e6 + 0.2)  # noqa: ASYNC251
-            said = await asyncio.wait_for(reader.read(), 3)
+            answer = await asyncio.wait_for(reader.read(), 3)
             writer.transport.abort()
             await asyncio.to_thread(thread.join)
-            assert said.startswith(b"HTTP/1.1 403"), said
+            assert answer.startswith(b"HTTP/1.1 403"), answer
 
 
 async def test_a_head_that_has_come_is_read_though_its_time_is_over(tmp_path: Path) -> None:
-    # It was told 408, though all of it had come.
+    # The client once got 408 although its whole request had arrived.
     async with standalone_gate(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
         reader, writer = await asyncio.open_connection(*gate.address.split(":"))
         writer.write(UPGRADE[:40])
         await asyncio.sleep(SHORT_LIMITS.handshake_us / 2e6)
         writer.write(UPGRADE[40:])
         time.sleep(SHORT_LIMITS.handshake_us / 1e6)  # noqa: ASYNC251
-        said = await asyncio.wait_for(reader.read(), 3)
+        answer = await asyncio.wait_for(reader.read(), 3)
         writer.transport.abort()
-        assert said.startswith(b"HTTP/1.1 503"), said  # its node refuses connections
+        assert answer.startswith(b"HTTP/1.1 503"), answer  # 503, since its node refuses connections
 
 
 async def test_an_upgrade_that_waits_to_be_accepted_is_refused_before_the_end(tmp_path: Path) -> None:
-    # It was reset with the listening socket.
+    # Such a connection was once reset when the listening socket was closed.
     async with standalone_gate(tmp_path, {"n0": "127.0.0.1:1"}) as gate:
         address = gate.address.split(":")
         clients = [socket.create_connection((address[0], int(address[1]))) for _ in range(900)]
@@ -122,8 +123,8 @@
             client.sendall(UPGRADE)
         gate.stop()
         streams = [await asyncio.open_connection(sock=client) for client in clients]
-        said = await asyncio.gather(*(asyncio.wait_for(reader.read(), 3) for reader, _ in streams))
+        answers = await asyncio.gather(*(asyncio.wait_for(reader.read(), 3) for reader, _ in streams))
         for _, writer in streams:
             writer.transport.abort()
-        assert {answer[:12] for answer in said[:-1]} == {b"HTTP/1.1 503"}
-        assert said[-1] == b""
+        assert {answer[:12] for answer in answers[:-1]} == {b"HTTP/1.1 503"}
+        assert answers[-1] == b""
--- a/tests/test_uplink.py
+++ b/tests/test_uplink.py
@@ -1,4 +1,4 @@
-"""A gate's stream to its controller: the handshake that opens it."""
+"""The handshake of a gate's connection to its controller."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 @asynccontextmanager
 async def gate_at(controller: str, folder: Path) -> AsyncIterator[Gate]:
-    """A gate that joins the controller at this address; it runs until the end, and ends in order."""
+    """A gate that joins the controller at this address. It runs until the block ends and is stopped in
+    order."""
     (folder / "key").write_bytes(SECRET)
     file = folder / "gate.textproto"
     file.write_text(
@@ -52,7 +53,7 @@
 
 @pytest.mark.parametrize(("share", "joins"), [(0.2, True), (0.7, False)])
 def test_the_messages_of_a_handshake_share_one_deadline(tmp_path: Path, share: float, joins: bool) -> None:
-    """Guards against a time for each message: a slow controller held a gate for twice `connect_us`."""
+    """With a time limit for each message, a slow controller could hold a gate for twice `connect_us`."""
 
     async def test() -> None:
         pause_s = share * SHORT_LIMITS.connect_us / 1e6
@@ -67,7 +68,7 @@
 
 
 async def never_end_a_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A controller whose first message has no end."""
+    """A controller whose first message never ends."""
     try:
         while True:
             writer.write(bytes(1 << 20))
@@ -77,7 +78,8 @@
 
 
 def test_a_line_without_end_costs_a_gate_its_stream_alone(tmp_path: Path) -> None:
-    """Guards against a gate that ended, with all it held, on a controller's line beyond `line_bytes`."""
+    """A line longer than `line_bytes` from the controller once ended the whole gate with all its
+    connections."""
 
     async def test() -> None:
         async with Party(never_end_a_line) as controller, gate_at(controller.address, tmp_path) as gate:
