--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -34,9 +34,9 @@
     join_us: int = 2_000_000
     idle_us: int = 1_500_000  # a gate sends a heartbeat every 0.3 s
     evaluation_us: int = 100_000
-    late_us: int = (
-        100_000  # a timer later than this means that the process was stalled: it reads its input first
-    )
+    # A timer that fires later than this means that the process was stalled. It then reads waiting input
+    # first.
+    late_us: int = 100_000
     log_every_us: int = 1_000_000
 
 
@@ -72,9 +72,8 @@
         )
         self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
         self.gates: dict[str, JoinedGate] = {}
-        self.last_boots: dict[
-            str, tuple[str, int]
-        ] = {}  # name: boot id of its last process, and when that left
+        # name: boot id of its last process, and the time at which that left
+        self.last_boots: dict[str, tuple[str, int]] = {}
         self.addresses: dict[str, tables.Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.log, self.counters = Part("gates", self.limits.log_every_us), service.counters
@@ -192,9 +191,8 @@
                     "unidentified connection rejected", peer=writer.get_extra_info("peername"), why=why
                 )
         except asyncio.CancelledError:
-            why = (
-                "the controller is stopping"  # an orderly end; asyncio would log a trace of a cancelled task
-            )
+            # An orderly end. If the error went on, asyncio would log a trace of the cancelled task.
+            why = "the controller is stopping"
         except Exception:  # an internal error ends this connection, not the controller
             self.counters["gates.faults"] += 1
             self.log.failed("gate connection failed")
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -74,9 +74,9 @@
         connection ended before."""
         gate = self.gate
         try:
-            opening = await self.read_head()
-            kind, key = self.classify(opening)
-            opener = NodeOpener(gate, opening, self.peer, self.reader.wake)
+            upgrade_request = await self.read_head()
+            kind, key = self.classify(upgrade_request)
+            opener = NodeOpener(gate, upgrade_request, self.peer, self.reader.wake)
             go, node, protocol = await self.open_node(kind, key, opener)
         except NoRequest:
             gate.counters["screens.never_asked"] += 1
@@ -101,7 +101,7 @@
             node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
             return None
-        self.writer.write(upgrade.accept_response(self.state, opening, protocol))
+        self.writer.write(upgrade.accept_response(self.state, upgrade_request, protocol))
         return Accepted(kind, key, go, node, protocol, opener, self.state.trailing_data[0])
 
     async def read_head(self) -> UpgradeRequest:
@@ -112,9 +112,9 @@
             if event is h11.NEED_DATA:
                 self.state.receive_data(await self.read_head_piece(until))
             elif isinstance(event, h11.Request):
-                opening = upgrade.parse_upgrade(event)
+                upgrade_request = upgrade.parse_upgrade(event)
             elif isinstance(event, h11.EndOfMessage):
-                return opening
+                return upgrade_request
             else:
                 raise BadUpgrade(400, "an upgrade has no body")
 
@@ -141,13 +141,17 @@
             return NoRequest()
         return BadUpgrade(408, "the head of the upgrade did not come in time")
 
-    def classify(self, opening: UpgradeRequest) -> tuple[ConnectionClass, str | None]:
+    def classify(self, upgrade_request: UpgradeRequest) -> tuple[ConnectionClass, str | None]:
         """The class and the key of the connection that is requested."""
-        kind = self.gate.steering.class_of(opening.path)
+        kind = self.gate.steering.class_of(upgrade_request.path)
         if kind is None:
             raise Refusal(404, "no class has this path")
         name = self.gate.key_parameter
-        keys = [value for key, value in parse_qsl(opening.target.partition("?")[2]) if name and key == name]
+        keys = [
+            value
+            for key, value in parse_qsl(upgrade_request.target.partition("?")[2])
+            if name and key == name
+        ]
         if len(keys) > 1 or (keys and len(keys[0]) > self.limits.key_bytes):
             raise Refusal(400, f"{name} stands twice, or is too long")
         return kind, keys[0] if keys and keys[0] else None
@@ -178,9 +182,8 @@
                 if key is not None or len(tried) >= TRIES_MOST:
                     wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
-                choice = steering.place(
-                    now, tried
-                )  # nothing is held or written yet, so another node may be tried
+                # Nothing is held or written yet, so another node may be tried.
+                choice = steering.place(now, tried)
             except BaseException:
                 steering.fail(choice.node)
                 raise
--- a/lapispass/gate/limits.py
+++ b/lapispass/gate/limits.py
@@ -43,9 +43,9 @@
     flush_us: int = 500_000  # to send the remaining bytes when a connection ends
     fence_us: int = 1_500_000  # until a node must have shown that it has read everything sent to it
     quiet_us: int = 200_000  # silence on the old node's connection before a move closes it
-    late_us: int = (
-        100_000  # a timer later than this means that the process was stalled: it reads its input first
-    )
+    # A timer that fires later than this means that the process was stalled. It then reads waiting input
+    # first.
+    late_us: int = 100_000
     tick_us: int = 100_000
     report_us: int = 500_000
     heartbeat_us: int = 300_000
--- a/lapispass/gate/node_connection.py
+++ b/lapispass/gate/node_connection.py
@@ -30,7 +30,7 @@
     """Opens connections to nodes for one client's upgrade request: the first one, and one for each move."""
 
     gate: GateHost
-    opening: UpgradeRequest
+    upgrade_request: UpgradeRequest
     peer: str  # the client's address
     wake: asyncio.Event
 
@@ -40,7 +40,7 @@
         address = gate.steering.tables.nodes.get(go.node)
         if address is None:
             raise UpgradeFailed("the node's address is not known")
-        handshake = NodeHandshake(self.opening, address.address, self.peer, limits.head_bytes)
+        handshake = NodeHandshake(self.upgrade_request, address.address, self.peer, limits.head_bytes)
         writer = None
         is_open = False
         try:
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -124,22 +124,26 @@
             counters=self.counters,
         )
         self.address = await bound_address(listener)
-        loops = [
-            loop.create_task(loop_task)
-            for loop_task in (self.ticks(), self.ended.wait(), *([self.uplink.run()] if self.uplink else []))
+        background_tasks = [
+            loop.create_task(work)
+            for work in (
+                self.ticks(),
+                self.ended.wait(),
+                *([self.uplink.run()] if self.uplink else []),
+            )
         ]
         self.log.say("listening", name=self.settings.name, address=self.address, zone=self.settings.zone)
         try:
-            done, _ = await asyncio.wait(loops, return_when=asyncio.FIRST_COMPLETED)
-            for loop_task in done:
-                loop_task.result()
+            done, _ = await asyncio.wait(background_tasks, return_when=asyncio.FIRST_COMPLETED)
+            for background_task in done:
+                background_task.result()
         finally:
-            for loop_task in loops:
-                loop_task.cancel()
+            for background_task in background_tasks:
+                background_task.cancel()
             self.server.close(self.limits.handshakes_at_once)
             await asyncio.gather(*self.server.tasks, return_exceptions=True)
             await self.close_all()
-            await asyncio.gather(*loops, return_exceptions=True)
+            await asyncio.gather(*background_tasks, return_exceptions=True)
             self.print_counters()
 
     def stop(self) -> None:
@@ -177,9 +181,8 @@
             if self.ended.is_set():  # accepted just as the gate stops
                 await handshake.refuse_unread("the gate ends")
                 return
-            if (
-                len(self.upgrading) >= self.limits.handshakes_at_once
-            ):  # Guards against never-ending handshakes.
+            # A bound on upgrades under way, since a client may never finish its handshake.
+            if len(self.upgrading) >= self.limits.handshakes_at_once:
                 self.counters["screens.crowded_out"] += 1
                 if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.handshakes_at_once:
                     await handshake.refuse_unread("too many upgrades at once")
@@ -208,9 +211,8 @@
             now = self.clock.now()
             was = self.steering.writable
             for number in self.steering.expired(now):
-                if tunnel := self.tunnels.get(
-                    number
-                ):  # the node has read everything, or is cut off, before the lease ends
+                # The node must have read everything, or be cut off, before the lease ends.
+                if tunnel := self.tunnels.get(number):
                     tunnel.start_fence(now, max(now + 1, self.steering.lease_ends()))
             if was != self.steering.writable:
                 self.log.warn(
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -28,9 +28,8 @@
         )
         self.keeper.joined(now, gate.settings.name, gate.settings.zone, NONE, {})
         self.views: list[NodeView] = []
-        self.starts: dict[
-            str, tuple[int, int]
-        ] = {}  # node: start time as in the file, and by this process's clock
+        # node: start time as in the file, and by this process's clock
+        self.starts: dict[str, tuple[int, int]] = {}
         self.serial, self.reported = 0, 0
         self.follow(source)
 
@@ -44,7 +43,11 @@
             or settings.gate.controller
         ):
             raise BadFile(
-                [source.at("gate", "changes of its slices or controller take effect only after a restart")]
+                [
+                    source.at(
+                        "gate", "the gate's section, slices and controller can be changed only with a restart"
+                    )
+                ]
             )
         wanted = tables.Tables(gate.settings.slices)
         for node in settings.node:
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -145,10 +145,10 @@
     def may_begin(self, now: int) -> bool:
         """Whether a new message of the client may be sent to the node now, by the tables and a move under
         way."""
-        between = self.move is not None and (self.move.step != "opening" or self.node is None)
+        is_switching = self.move is not None and (self.move.step != "opening" or self.node is None)
         return (
             self.node is not None
-            and not between
+            and not is_switching
             and not self.node.sent_close
             and (self.gate.steering.may_write(now, self.held))
         )
@@ -485,8 +485,8 @@
             if self.node.got_close or not self.held.unproven:
                 self.node.close_after_flush(limits.close_us / 1e6)
             else:
-                # Rule 2: the kernel must not send unsent bytes after this process counts them as dropped;
-                # they were written under older tables.
+                # Rule 2: unsent bytes were written under older tables. The kernel must not send them after
+                # the tunnel has ended.
                 self.node.reset()
         if self.client.sent_close or self.client.got_close:
             self.client.close_after_flush(limits.close_us / 1e6)
--- a/lapispass/gate/upgrade.py
+++ b/lapispass/gate/upgrade.py
@@ -106,12 +106,12 @@
     return base64.b64encode(hashlib.sha1(key + ACCEPT_GUID, usedforsecurity=False).digest())
 
 
-def accept_response(state: h11.Connection, opening: UpgradeRequest, protocol: str | None) -> bytes:
+def accept_response(state: h11.Connection, upgrade_request: UpgradeRequest, protocol: str | None) -> bytes:
     """The 101 response, with the subprotocol that the node has chosen."""
     headers = [
         (b"upgrade", b"websocket"),
         (b"connection", b"Upgrade"),
-        (b"sec-websocket-accept", accept_value(opening.key)),
+        (b"sec-websocket-accept", accept_value(upgrade_request.key)),
     ]
     if protocol:
         headers.append((b"sec-websocket-protocol", protocol.encode("latin-1")))
@@ -146,17 +146,17 @@
 class NodeHandshake:
     """The upgrade handshake with a node: the client's target and headers, with a key of the gate's own."""
 
-    def __init__(self, opening: UpgradeRequest, address: str, peer: str, head_bytes: int) -> None:
+    def __init__(self, upgrade_request: UpgradeRequest, address: str, peer: str, head_bytes: int) -> None:
         self.key = base64.b64encode(os.urandom(16))
-        self.protocols = opening.protocols
+        self.protocols = upgrade_request.protocols
         self.state = h11.Connection(h11.CLIENT, max_incomplete_event_size=head_bytes)
-        forwarded_for = [value for key, value in opening.headers if key == b"x-forwarded-for"]
-        others = [pair for pair in opening.headers if pair[0] != b"x-forwarded-for"]
+        forwarded_for = [value for key, value in upgrade_request.headers if key == b"x-forwarded-for"]
+        others = [pair for pair in upgrade_request.headers if pair[0] != b"x-forwarded-for"]
         self.request = h11.Request(
             method="GET",
-            target=opening.target,
+            target=upgrade_request.target,
             headers=[
-                (b"host", opening.host or address.encode()),
+                (b"host", upgrade_request.host or address.encode()),
                 (b"upgrade", b"websocket"),
                 (b"connection", b"Upgrade"),
                 (b"sec-websocket-version", b"13"),
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -94,9 +94,9 @@
             sending = asyncio.get_running_loop().create_task(self.send_heartbeats(writer))
             try:
                 while True:
-                    self.handle(
-                        await self.receive(reader, 4 * limits.heartbeat_us)
-                    )  # the controller answers each heartbeat
+                    # The controller answers each heartbeat, so four intervals without a message mean it is
+                    # lost.
+                    self.handle(await self.receive(reader, 4 * limits.heartbeat_us))
                     if sending.done():
                         sending.result()
             finally:
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -190,10 +190,10 @@
 
 async def converse(day: GateDay, name: str) -> None:
     """Opens one connection after the other and keeps each until the gate ends it."""
-    lives = 0
+    opened = 0
     while not day.told_to_end:
-        lives += 1
-        await Client(day, f"{name}.{lives}").live((0, 0, 0.01, 0.1, 0.5))
+        opened += 1
+        await Client(day, f"{name}.{opened}").live((0, 0, 0.01, 0.1, 0.5))
 
 
 async def upgrade_late(day: GateDay, name: str) -> None:
@@ -202,15 +202,15 @@
     while not day.told_to_end:
         rounds += 1
         waits_s = [day.chance.uniform(0, HEAD_S * 0.8) for _ in range(10)]
-        lives = (
+        connections = (
             Client(day, f"{name}.{rounds}.{n}").live((0.05,), wait_s) for n, wait_s in enumerate(waits_s)
         )
-        await asyncio.gather(*(ended_soon(day, life) for life in lives))
+        await asyncio.gather(*(ended_soon(day, connection) for connection in connections))
 
 
-async def ended_soon(day: GateDay, life: Coroutine[Any, Any, None]) -> None:
+async def ended_soon(day: GateDay, connection: Coroutine[Any, Any, None]) -> None:
     """Runs a client that leaves after a while, except while the gate stops."""
-    task = asyncio.create_task(life)
+    task = asyncio.create_task(connection)
     await asyncio.wait((task,), timeout=1.5)
     if not day.told_to_end:
         task.cancel()
@@ -222,31 +222,31 @@
 async def crowd(day: GateDay, name: str) -> None:
     """Opens hundreds of connections at once."""
 
-    async def one(number: int) -> None:
+    async def connect_one(number: int) -> None:
         await asyncio.sleep(day.chance.uniform(0, 0.3))
         await ended_soon(day, Client(day, f"{name}.{rounds}.{number}").live((0.2,)))
 
     rounds = 0
     while not day.told_to_end:
         rounds += 1
-        await asyncio.gather(*(one(number) for number in range(CROWD)))
+        await asyncio.gather(*(connect_one(number) for number in range(CROWD)))
 
 
 async def misbehave(day: GateDay) -> None:
     """Opens connections that send invalid bytes or nothing. Each must get a status or a close."""
 
-    async def one(said: bytes) -> None:
+    async def send_invalid(sent: bytes) -> None:
         client = Client(day, "bad")
         try:
             await client.connect()
-            client.writer.write(said)
-            await client.in_time(client.reader.read(), f"owed to {said[:20]!r}")
+            client.writer.write(sent)
+            await client.in_time(client.reader.read(), f"owed to {sent[:20]!r}")
         except (EOFError, OSError):
             pass
         client.writer.close()
 
     while not day.told_to_end:
-        await asyncio.gather(*(one(day.chance.choice(GARBAGE)) for _ in range(10)))
+        await asyncio.gather(*(send_invalid(day.chance.choice(GARBAGE)) for _ in range(10)))
 
 
 async def drain(day: GateDay) -> None:
@@ -278,8 +278,8 @@
     faults, address = Faults(folder / "faults"), free_address()
     is_crowded = chance.random() < 0.4
     file = folder / "operator.textproto"
-    async with SlowNode("n0") as one, SlowNode("n1") as other:
-        nodes = [one, other]
+    async with SlowNode("n0") as first, SlowNode("n1") as second:
+        nodes = [first, second]
         file.write_text(
             FILE.format(
                 listen="{}:{}".format(*address), nodes=[node.address for node in nodes], state="READY"
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -92,13 +92,13 @@
 class StandaloneGate:
     """A standalone gate and its nodes."""
 
-    def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **how: Any) -> None:
-        self.gate, self.nodes, self.file, self.how = gate, nodes, file, how
+    def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **file_options: Any) -> None:
+        self.gate, self.nodes, self.file, self.file_options = gate, nodes, file, file_options
         self.states = dict.fromkeys(nodes, "READY")
 
     def write(self) -> None:
         listed = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
-        self.file.write_text(standalone_file(listed, **self.how))
+        self.file.write_text(standalone_file(listed, **self.file_options))
 
     def set(self, **states: str) -> None:
         """Changes the states of nodes in the file and has the gate read it."""
@@ -116,7 +116,7 @@
     count: int = 2,
     limits: Limits = SHORT_LIMITS,
     nodes: dict[str, CounterNode] | None = None,
-    **how: Any,
+    **file_options: Any,
 ) -> AsyncIterator[StandaloneGate]:
     """Nodes `n0`, `n1` ... (or those given) and a standalone gate in front of them."""
     nodes = (
@@ -126,7 +126,7 @@
         if not node.address:
             await node.start()
     file = tmp_path / "gate.textproto"
-    env = StandaloneGate(None, nodes, file, **how)  # type: ignore[arg-type]
+    env = StandaloneGate(None, nodes, file, **file_options)  # type: ignore[arg-type]
     env.write()
     env.gate = gate = Gate(operator.read(file), 7, limits)
     running = asyncio.create_task(gate.run())
@@ -164,15 +164,15 @@
         nodes: dict[str, CounterNode],
         grace_ms: int,
         bounds: str,
-        told: Deployment,
+        deployment: Deployment,
         limits: Limits,
     ) -> None:
-        self.path, self.nodes, self.told, self.gate_limits = path, nodes, told, limits
+        self.path, self.nodes, self.deployment, self.gate_limits = path, nodes, deployment, limits
         self.common = (
             f"{CLASSES}\ndrain {{ grace_ms: {grace_ms} margin_ms: 300 come_back_least_ms: 50 "
             f"come_back_most_ms: 5000 }}\nnodes {{ {bounds} }}\n"
         )
-        self.registry, self.relay = Registry(), Relay(told.slices, told.proxies)
+        self.registry, self.relay = Registry(), Relay(deployment.slices, deployment.proxies)
         self.gates: dict[str, Gate] = {}
         self.names = ["g0", "g1", "g2"]
         self.tasks: dict[str, asyncio.Task[None]] = {}
@@ -189,7 +189,7 @@
                 await node.start()
             self.registry.members[name] = Member(name, node.address, node.zone)
         names = sorted(self.nodes)
-        self.relay.owners = {number: names[number % len(names)] for number in range(self.told.slices)}
+        self.relay.owners = {number: names[number % len(names)] for number in range(self.deployment.slices)}
         self.relay.published += [Published(0, number, owner) for number, owner in self.relay.owners.items()]
         await self.registry.start()
         await self.relay.start()
@@ -212,7 +212,7 @@
                 self.relay.address,
                 5,
                 Listing(0, False, (), {}, 0),
-                self.told,
+                self.deployment,
                 net.Limits(),
             )
         )
@@ -232,12 +232,12 @@
         file = self.path / f"{name}.textproto"
         file.write_text(
             f'{self.common} gate {{ name: "{name}" listen: "127.0.0.1:0" controller: "127.0.0.1:{self.port}" '
-            f'slices: {self.told.slices} key_parameter: "key" secret_file: "key" }}'
+            f'slices: {self.deployment.slices} key_parameter: "key" secret_file: "key" }}'
         )
         gate = self.gates[name] = Gate(operator.read(file), len(self.gates) + 11, self.gate_limits)
         self.tasks[name] = asyncio.create_task(gate.run())
         steering = gate.steering
-        await until(lambda: len(steering.tables.owners) == self.told.slices and steering.plan.allotted)
+        await until(lambda: len(steering.tables.owners) == self.deployment.slices and steering.plan.allotted)
         return gate
 
     async def kill_gate(self, name: str) -> None:
@@ -260,7 +260,7 @@
     def breaches(self) -> list[Breach]:
         """Breaches of rule 2, by what the nodes received and what was published."""
         writes = [Carried(*write) for node in self.nodes.values() for write in node.writes]
-        return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.told.slices))
+        return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.deployment.slices))
 
     async def stop(self) -> None:
         for gate in self.gates.values():
@@ -283,14 +283,14 @@
     gates: int = 1,
     grace_ms: int = 1500,
     bounds: str = "",
-    told: Deployment = DEPLOYMENT,
+    deployment: Deployment = DEPLOYMENT,
     limits: Limits = SHORT_LIMITS,
     extra: str = "",
 ) -> AsyncIterator[Fleet]:
     """A controller, nodes, and gates `g0`, `g1` ..."""
     if isinstance(nodes, int):
         nodes = {f"n{number}": CounterNode(f"n{number}") for number in range(nodes)}
-    env = Fleet(path, nodes, grace_ms, bounds, told, limits)
+    env = Fleet(path, nodes, grace_ms, bounds, deployment, limits)
     env.extra = extra
     await env.start()
     try:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -90,7 +90,7 @@
 # peers that misbehave
 
 
-async def raw(
+async def raw_client(
     env: StandaloneGate, target: str = "/board"
 ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     """A client whose upgrade is complete. The test reads and writes its bytes itself."""
@@ -137,7 +137,7 @@
     tmp_path: Path, sent: bytes, code: int
 ) -> None:
     async with standalone_gate(tmp_path, 1) as env, connect(env.url("/board")) as other:
-        reader, writer = await raw(env)
+        reader, writer = await raw_client(env)
         writer.write(sent)
         assert await closed_with(reader) == code
         writer.close()
@@ -196,7 +196,7 @@
     async with standalone_gate(
         tmp_path, 1, replace(SHORT_LIMITS, buffer_bytes=64 << 10, ping_us=60_000 * MS)
     ) as env:
-        _, writer = await raw(env)
+        _, writer = await raw_client(env)
         writer.transport.pause_reading()
         payload = b"x" * 60_000
         for _ in range(400):  # echoes of 24 MB in all
@@ -230,21 +230,21 @@
 
 async def test_a_client_that_is_gone_without_a_close_ends_its_nodes_connection(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
-        for way in ("abort", "half"):
-            _, writer = await raw(env)
+        for end in ("abort", "half"):
+            _, writer = await raw_client(env)
             await until(lambda: env.nodes["n0"].held)
-            if way == "abort":
+            if end == "abort":
                 writer.transport.abort()
             else:
                 writer.write_eof()
             await until(lambda: not env.nodes["n0"].held)
-            assert env.nodes["n0"].ends[-1].code == 1001, way
+            assert env.nodes["n0"].ends[-1].code == 1001, end
             writer.close()
 
 
 async def test_a_client_that_answers_no_ping_is_ended(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
-        _, writer = await raw(env)
+        _, writer = await raw_client(env)
         await until(lambda: env.gate.counters["screens.silent"])
         await until(lambda: not env.nodes["n0"].held)
         writer.close()
@@ -325,7 +325,7 @@
             await board.close()
 
 
-def at(party: Party) -> CounterNode:
+def node_at(party: Party) -> CounterNode:
     """A node entry with the address of a scripted peer."""
     node = CounterNode("n0")
     node.address = party.address
@@ -344,13 +344,13 @@
     ],
 )
 async def test_a_node_whose_answer_is_no_upgrade(tmp_path: Path, answer: bytes | None) -> None:
-    async def meet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         if answer is None:
             await asyncio.sleep(5)  # never answers
         writer.write(answer or b"")
 
-    async with Party(meet) as node, standalone_gate(tmp_path, nodes={"n0": at(node)}) as env:
+    async with Party(serve) as node, standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env:
         response = await asyncio.wait_for(exchange(env, UPGRADE), 2)
         assert response.startswith("HTTP/1.1 503") and "Retry-After" in response
         assert not env.gate.steering.coming
@@ -364,15 +364,15 @@
     async def silent(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(10)
 
-    for life, code in ((junk, 1002), (silent, 1012)):
+    for behave, code in ((junk, 1002), (silent, 1012)):
 
-        async def meet(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, life=life) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, behave=behave) -> None:
             assert await take_upgrade(reader, writer)
-            await life(reader, writer)
+            await behave(reader, writer)
 
         async with (
-            Party(meet) as node,
-            standalone_gate(tmp_path, nodes={"n0": at(node)}) as env,
+            Party(serve) as node,
+            standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env,
             connect(env.url("/till?key=a")) as till,
         ):
             with pytest.raises(ConnectionClosed):
@@ -446,7 +446,7 @@
 
 async def test_a_message_in_fragments_ends_where_it_began(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 2, grace_ms=2000) as env:
-        _, writer = await raw(env)
+        _, writer = await raw_client(env)
         writer.write(frame(0x01, b"one "))  # a fragment; the drain begins before its end
         node = next(name for name, node in env.nodes.items() if node.held)
         await until(lambda: any(held.inside for held in env.gate.steering.book))
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -35,7 +35,7 @@
     return next(key for key in keys if env.relay.owners.get(slice_of(key, 12)) == node and key != after)
 
 
-async def boards(env: Fleet, count: int, gate: str = "g0") -> list[ClientConnection]:
+async def open_boards(env: Fleet, count: int, gate: str = "g0") -> list[ClientConnection]:
     """Opens connections of the class "board" that send nothing, as fast as they are admitted."""
     held: list[ClientConnection] = []
     while len(held) < count:
@@ -73,7 +73,7 @@
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path, 5, grace_ms=2500, bounds=ROOMY) as env:
-        held = await boards(env, 200)
+        held = await open_boards(env, 200)
         leaving = sorted(env.nodes, key=lambda name: -len(env.nodes[name].held))[:2]
         held_there = sum(len(env.nodes[name].held) for name in leaving)
         assert held_there > 50
@@ -100,7 +100,7 @@
     nodes = {f"n{n}": CounterNode(f"n{n}", strength=strength) for n in range(3)}
     bounds = "connections: 300 new_per_s: 50 burst: 4 cold_ms: 2000 cold_share: 0.2"
     async with fleet(tmp_path, nodes, grace_ms=4000, bounds=bounds) as env:
-        held = await boards(env, 60)
+        held = await open_boards(env, 60)
         cold = CounterNode("n3", strength=strength)
         await cold.start(cold=True)
         env.nodes["n3"] = cold
@@ -118,7 +118,7 @@
 
 async def test_the_registry_takes_a_drain_back_and_the_rest_stays(tmp_path: Path) -> None:
     async with fleet(tmp_path, 3, grace_ms=6000, bounds=ROOMY) as env:
-        held = await boards(env, 60)
+        held = await open_boards(env, 60)
         at_n0 = len(env.nodes["n0"].held)
         env.list("n0", "Terminating")
         await until(lambda: len(env.nodes["n0"].held) < at_n0)
@@ -134,8 +134,8 @@
 
 async def test_a_gate_that_dies_in_the_middle_of_a_drain_does_not_stop_it(tmp_path: Path) -> None:
     async with fleet(tmp_path, 3, 2, grace_ms=3000, bounds=ROOMY) as env:
-        await boards(env, 40, "g0")
-        stays = await boards(env, 40, "g1")
+        await open_boards(env, 40, "g0")
+        stays = await open_boards(env, 40, "g1")
         begun = clock_us()
         env.list("n0", "Terminating")
         await asyncio.sleep(0.5)
@@ -151,7 +151,7 @@
 
 async def test_a_controller_that_restarts_in_the_middle_of_a_drain_goes_on_with_it(tmp_path: Path) -> None:
     async with fleet(tmp_path, 3, grace_ms=4000, bounds=ROOMY) as env:
-        held = await boards(env, 90)
+        held = await open_boards(env, 90)
         begun = clock_us()
         env.list("n0", "Terminating")
         await until(lambda: env.gates["g0"].steering.plan.ceilings)
@@ -256,7 +256,7 @@
     async with fleet(tmp_path, 2) as env:
         gate = env.gates["g0"]
         assert gate.uplink is not None
-        held = await boards(env, 10)
+        held = await open_boards(env, 10)
         now = gate.clock.now()
         old = Plan(Version(1, 1), {}, {})
         gate.uplink.handle(wire.plan_message(old, now))
@@ -313,7 +313,7 @@
 
 async def test_held_load_reaches_the_controller_and_that_of_a_dead_gate_is_forgotten(tmp_path: Path) -> None:
     async with fleet(tmp_path, 2, 2, bounds="connections: 40 new_per_s: 1000 burst: 100") as env:
-        held = await boards(env, 30, "g0")
+        held = await open_boards(env, 30, "g0")
         controller = env.service.controller
         await until(lambda: sum(standing.held for standing in controller.standings()) > 0.5)
         await until(lambda: sum(env.gate_server.keeper.held().values()) == 30)
@@ -343,11 +343,11 @@
     async with fleet(tmp_path, 2, extra='xds { listen: "127.0.0.1:0" }') as env:
         front = next(front for front in env.service.beside if isinstance(front, Beside))
         await until(lambda: front.desk.address)
-        one = XdsClient(front.desk.address, "c0", 1)
-        running = asyncio.create_task(one.run())
+        client = XdsClient(front.desk.address, "c0", 1)
+        running = asyncio.create_task(client.run())
         env.list("n0", "Terminating")
         await until(lambda: env.relay.owners == dict.fromkeys(range(12), "n1"), 15)
-        await until(lambda: one.writes_to(0) == "n1")
+        await until(lambda: client.writes_to(0) == "n1")
         await until(lambda: len(env.gates["g0"].steering.tables.owners) == 12)
         assert set(env.gates["g0"].steering.tables.owners.values()) == {"n1"}
         await ended(running)
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -33,29 +33,29 @@
     play(test(), 60)
 
 
-def client(folder: Path, connect: Callable[[], Any] | None = None) -> Client:
+def make_client(folder: Path, connect: Callable[[], Any] | None = None) -> Client:
     running = SimpleNamespace(faults=Faults(folder / "faults"), lines=[], connect=connect)
     day = GateDay(running, random.Random(1), Verdict(1), is_crowded=False)  # type: ignore[arg-type]
     return Client(day, "c")
 
 
 def test_the_judge_sees_an_upgrade_that_was_read_whole_and_got_no_status(tmp_path: Path) -> None:
-    one = client(tmp_path)
-    one.port, one.read_before = 40_000, 0
-    place = RECORD.size * len(Call) + PORT_COUNT.size * one.port
+    client = make_client(tmp_path)
+    client.port, client.read_before = 40_000, 0
+    offset = RECORD.size * len(Call) + PORT_COUNT.size * client.port
     for read, status, breaches in (
-        (len(one.request) - 1, b"", 0),
-        (len(one.request), GRANTED, 0),
-        (len(one.request), b"", 1),
+        (len(client.request) - 1, b"", 0),
+        (len(client.request), GRANTED, 0),
+        (len(client.request), b"", 1),
     ):
-        PORT_COUNT.pack_into(one.day.running.faults.records, place, read)
-        one.status = status
-        one.judge()
-        assert len(one.day.verdict.breaches) == breaches
+        PORT_COUNT.pack_into(client.day.running.faults.records, offset, read)
+        client.status = status
+        client.judge()
+        assert len(client.day.verdict.breaches) == breaches
 
 
 @pytest.mark.parametrize(
-    ("said", "breach"),
+    ("sent", "breach"),
     [
         (GRANTED + bytes((0x81, len(OK))) + OK, ""),
         (GRANTED + bytes((0x01, 2)) + OK[:2] + bytes((0x80, len(OK) - 2)) + OK[2:], ""),
@@ -66,24 +66,24 @@
     ],
 )
 def test_the_judge_sees_what_a_client_gets(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes, breach: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, breach: str
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(said)
+        writer.write(sent)
         await reader.read()
 
     async def test() -> None:
         monkeypatch.setattr(soak_gate, "ANSWER_S", 0.3)
         async with Party(serve) as party:
             address = party.address.split(":")
-            one = client(tmp_path, lambda: asyncio.open_connection(*address))
-            living = asyncio.create_task(one.live(pauses_s=(10.0,)))
-            await asyncio.wait((living,), timeout=1.0)
-            living.cancel()
-            await asyncio.gather(living, return_exceptions=True)
-        assert len(one.day.verdict.breaches) == bool(breach)
-        assert all(breach in text for text in one.day.verdict.breaches)
+            client = make_client(tmp_path, lambda: asyncio.open_connection(*address))
+            running_client = asyncio.create_task(client.live(pauses_s=(10.0,)))
+            await asyncio.wait((running_client,), timeout=1.0)
+            running_client.cancel()
+            await asyncio.gather(running_client, return_exceptions=True)
+        assert len(client.day.verdict.breaches) == bool(breach)
+        assert all(breach in text for text in client.day.verdict.breaches)
 
     play(test())
 
