--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -312,9 +312,8 @@
                 boards.append(await connect(env.url(f"/till?key={number}")))
             except InvalidStatus as error:
                 statuses.add(error.response.status_code)
-                assert (
-                    int(error.response.headers["Retry-After"]) >= 2
-                )  # the node's Retry-After header counts too
+                # The node's Retry-After header counts too.
+                assert int(error.response.headers["Retry-After"]) >= 2
         assert statuses == {503} and not env.nodes["n0"].held
         env.nodes["n0"].refuses = HTTPStatus.FORBIDDEN  # final: no other node is asked
         with pytest.raises(InvalidStatus) as caught:
