--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -70,7 +70,7 @@
         self.keeper = Keeper(
             operator.classes(settings), bounds, operator.drain_terms(settings), service.clock.now()
         )
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
+        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
         self.gates: dict[str, JoinedGate] = {}
         # name: boot id of its last process, and the time at which that left
         self.last_boots: dict[str, tuple[str, int]] = {}
@@ -84,7 +84,7 @@
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Called after each turn of the controller: sends its table changes and its barrier to every gate,
         as a whole and in order."""
-        if any(isinstance(event, interface.Listed) for event in events):
+        if any(isinstance(event, interface.RegistryUpdate) for event in events):
             self.update_addresses()
         changes, mark = self.picture.turn(events, orders, self.addresses)
         if changes or mark is not None:
@@ -95,7 +95,7 @@
 
     def update_addresses(self) -> None:
         """Reads the nodes' addresses from the registry and their zones from the controller."""
-        zones = {str(standing.backend): standing.zone for standing in self.service.controller.standings()}
+        zones = {str(status.backend): status.zone for status in self.service.controller.server_statuses()}
         self.addresses = {
             str(node): tables.Address(address, zones.get(str(node), ""))
             for node, address in self.service.registry.addresses.items()
@@ -146,22 +146,22 @@
             now,
             [
                 NodeView(
-                    str(standing.backend),
-                    standing.zone,
-                    standing.state,
-                    standing.weight,
-                    standing.born,
-                    standing.busy,
-                    standing.pace,
+                    str(status.backend),
+                    status.zone,
+                    status.state,
+                    status.weight,
+                    status.started_at,
+                    status.busy_share,
+                    status.completed_per_s,
                 )
-                for standing in self.service.controller.standings()
+                for status in self.service.controller.server_statuses()
             ],
         )
         orders = self.keeper.look(now)
         for note in orders.notes:
             self.log.say("drain", text=note)
         for node, load in orders.loads.items():
-            self.service.tell(interface.Holding(node, load))
+            self.service.tell(interface.HeldConnectionLoad(node, load))
         for name, plan in orders.plans.items():
             self.send_plan(name, plan, now)
 
@@ -245,7 +245,9 @@
         )
         self.gates[gate.name] = gate
         self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
-        self.service.tell(interface.Joined(gate.number, gate.name not in self.last_boots, hello.zone, None))
+        self.service.tell(
+            interface.ProxyJoined(gate.number, gate.name not in self.last_boots, hello.zone, None)
+        )
         self.last_boots[gate.name] = hello.boot, 0
         self.counters["gates.joined"] += 1
         self.log.say("gate joined", gate=gate.name, zone=hello.zone, drains=len(hello.drains))
@@ -268,7 +270,7 @@
                 self.send(gate, wire.encode_line(message))
             case wire.BarrierAcks(marks):
                 for mark, took_us in marks:
-                    self.service.tell(interface.Answered(gate.number, mark, max(0, took_us)))
+                    self.service.tell(interface.BarrierAck(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
                 self.keeper.told(
@@ -285,6 +287,6 @@
         del self.gates[gate.name]
         self.last_boots[gate.name] = self.last_boots[gate.name][0], self.service.clock.now()
         self.keeper.left(self.service.clock.now(), gate.name)
-        self.service.tell(interface.Left(gate.number))
+        self.service.tell(interface.ProxyLeft(gate.number))
         self.counters["gates.left"] += 1
         self.log.say("gate left", gate=gate.name, why=why)
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -315,12 +315,12 @@
     async with fleet(tmp_path, 2, 2, bounds="connections: 40 new_per_s: 1000 burst: 100") as env:
         held = await open_boards(env, 30, "g0")
         controller = env.service.controller
-        await until(lambda: sum(standing.held for standing in controller.standings()) > 0.5)
+        await until(lambda: sum(status.held_load for status in controller.server_statuses()) > 0.5)
         await until(lambda: sum(env.gate_server.keeper.held().values()) == 30)
         await env.kill_gate("g0")
         env.gate_server.keeper.left(env.service.clock.now() - 6_000 * MS, "g0")
         await until(lambda: "g0" not in env.gate_server.keeper.gates)
-        await until(lambda: sum(standing.held for standing in controller.standings()) == 0)
+        await until(lambda: sum(status.held_load for status in controller.server_statuses()) == 0)
         for board in held:
             await board.close()
 
