--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -94,9 +94,8 @@
             if self.has_input_begun or has_input(self.reader, self.writer):
                 await self.refuse(Refusal(503, "the gate ends", return_delay_us(gate)))
             raise
-        if (
-            self.reader.ended or self.writer.transport.is_closing()
-        ):  # the client left while its node was being opened
+        # The client may have left while the connection to its node was being opened.
+        if self.reader.ended or self.writer.transport.is_closing():
             gate.steering.fail(go.node)
             node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
@@ -131,7 +130,7 @@
         if piece is None:
             raise self.head_timeout_error()
         if not piece:
-            raise EOFError("ended before its head was whole") if self.has_input_begun else NoRequest
+            raise EOFError("connection closed within the request head") if self.has_input_begun else NoRequest
         self.has_input_begun = True
         return piece
 
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -351,8 +351,10 @@
             self.proven(self.proof_written)
         elif now >= self.proof_until:
             self.gate.counters["fences.cut"] += 1
-            self.gate.log.rate_limited("node did not answer the fence ping in time", node=self.held.node)
-            self.node_lost("no answer to the fence ping in time", now)
+            self.gate.log.rate_limited(
+                "node did not confirm in time that it has read everything", node=self.held.node
+            )
+            self.node_lost("did not confirm in time that it has read everything", now)
 
     def proven(self, written: int | None = None) -> None:
         """The node has read this number of messages and fragments; without a number, all that were
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -31,7 +31,7 @@
 from lapispass.standins.nodes import CounterNode
 
 ANSWER_S = 3.0  # for a status, the answer to a message or the end; pauses of the process do not count
-HEAD_S = 1.0  # the gate's limit for the head of an upgrade
+HEAD_S = 1.0  # the gate's time limit for the head of an upgrade request
 SLOW_UPGRADE_S = 0.4
 PATHS = ("/board", "/till", "/desk")
 LAST = 0x80  # the bit of a message's last frame, in the first byte of frames (RFC 6455 5.2)
@@ -51,13 +51,13 @@
 class SlowNode(CounterNode):
     """A server that is slow with every third upgrade, so that some are under way whenever the gate stops."""
 
-    asked = 0
+    upgrades_seen = 0
 
     async def upgrade(  # type: ignore[override]
         self, connection: ServerConnection, request: Request
     ) -> Response | None:
-        self.asked += 1
-        if self.asked % 3 == 0:
+        self.upgrades_seen += 1
+        if self.upgrades_seen % 3 == 0:
             await asyncio.sleep(SLOW_UPGRADE_S)
         return super().upgrade(connection, request)
 
@@ -163,13 +163,13 @@
             else:
                 self.day.breach(f"a frame {first:#x} {payload!r}")
 
-    def judge(self) -> None:
+    def check_upgrade_answered(self) -> None:
         """Checks, when the connection has ended, that an upgrade request that was read whole got a status."""
         read = self.day.running.faults.bytes_read_from(self.port) - self.read_before
         if read >= len(self.request) and not self.status:
             self.day.breach(f"lost: an upgrade of {len(self.request)} bytes, {read} read, no status")
 
-    async def live(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
+    async def run(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
         """Runs one connection to its end."""
         try:
             await self.connect()
@@ -181,19 +181,19 @@
             if await self.upgrade():
                 while await self.write():
                     await asyncio.sleep(self.day.chance.choice(pauses_s))
-            self.judge()
+            self.check_upgrade_answered()
         except (EOFError, OSError):
-            self.judge()
+            self.check_upgrade_answered()
         finally:
             self.writer.close()
 
 
-async def converse(day: GateDay, name: str) -> None:
+async def keep_connected(day: GateDay, name: str) -> None:
     """Opens one connection after the other and keeps each until the gate ends it."""
     opened = 0
     while not day.told_to_end:
         opened += 1
-        await Client(day, f"{name}.{opened}").live((0, 0, 0.01, 0.1, 0.5))
+        await Client(day, f"{name}.{opened}").run((0, 0, 0.01, 0.1, 0.5))
 
 
 async def upgrade_late(day: GateDay, name: str) -> None:
@@ -203,12 +203,12 @@
         rounds += 1
         waits_s = [day.chance.uniform(0, HEAD_S * 0.8) for _ in range(10)]
         connections = (
-            Client(day, f"{name}.{rounds}.{n}").live((0.05,), wait_s) for n, wait_s in enumerate(waits_s)
+            Client(day, f"{name}.{rounds}.{n}").run((0.05,), wait_s) for n, wait_s in enumerate(waits_s)
         )
-        await asyncio.gather(*(ended_soon(day, connection) for connection in connections))
+        await asyncio.gather(*(leave_early(day, connection) for connection in connections))
 
 
-async def ended_soon(day: GateDay, connection: Coroutine[Any, Any, None]) -> None:
+async def leave_early(day: GateDay, connection: Coroutine[Any, Any, None]) -> None:
     """Runs a client that leaves after a while, except while the gate stops."""
     task = asyncio.create_task(connection)
     await asyncio.wait((task,), timeout=1.5)
@@ -224,7 +224,7 @@
 
     async def connect_one(number: int) -> None:
         await asyncio.sleep(day.chance.uniform(0, 0.3))
-        await ended_soon(day, Client(day, f"{name}.{rounds}.{number}").live((0.2,)))
+        await leave_early(day, Client(day, f"{name}.{rounds}.{number}").run((0.2,)))
 
     rounds = 0
     while not day.told_to_end:
@@ -232,7 +232,7 @@
         await asyncio.gather(*(connect_one(number) for number in range(CROWD)))
 
 
-async def misbehave(day: GateDay) -> None:
+async def send_garbage(day: GateDay) -> None:
     """Opens connections that send invalid bytes or nothing. Each must get a status or a close."""
 
     async def send_invalid(sent: bytes) -> None:
@@ -259,14 +259,14 @@
 
 
 def gates_clients(day: GateDay, round_number: int) -> list[Coroutine[Any, Any, None]]:
-    clients = [converse(day, f"{round_number}.{number}") for number in range(CLIENTS)]
-    clients += [upgrade_late(day, f"{round_number}.late"), misbehave(day), drain(day)]
+    clients = [keep_connected(day, f"{round_number}.{number}") for number in range(CLIENTS)]
+    clients += [upgrade_late(day, f"{round_number}.late"), send_garbage(day), drain(day)]
     if day.is_crowded:
         clients += [crowd(day, f"{round_number}.crowd")]
     return clients
 
 
-def carried_twice(nodes: Sequence[CounterNode]) -> dict[str, int]:
+def duplicate_writes(nodes: Sequence[CounterNode]) -> dict[str, int]:
     """The numbers of writes that were carried out more than once, over all servers."""
     carried = Counter(write.number for node in nodes for write in node.writes)
     return {number: count for number, count in carried.items() if count > 1}
@@ -295,7 +295,7 @@
                     await life(day, gates_clients(day, round_number))
             except NotStarted as error:
                 verdict.breaches.append(f"not started: {error}")
-        if twice := carried_twice(nodes):
+        if twice := duplicate_writes(nodes):
             verdict.breaches.append(f"carried out twice: {twice}")
     return verdict
 
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -15,7 +15,7 @@
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
 from parties import Party, play
 from soak import Verdict
-from soak_gate import Client, GateDay, carried_twice, play_day
+from soak_gate import Client, GateDay, duplicate_writes, play_day
 
 from lapispass.standins.nodes import CounterNode, Write
 
@@ -50,7 +50,7 @@
     ):
         PORT_COUNT.pack_into(client.day.running.faults.records, offset, read)
         client.status = status
-        client.judge()
+        client.check_upgrade_answered()
         assert len(client.day.verdict.breaches) == breaches
 
 
@@ -78,7 +78,7 @@
         async with Party(serve) as party:
             address = party.address.split(":")
             client = make_client(tmp_path, lambda: asyncio.open_connection(*address))
-            running_client = asyncio.create_task(client.live(pauses_s=(10.0,)))
+            running_client = asyncio.create_task(client.run(pauses_s=(10.0,)))
             await asyncio.wait((running_client,), timeout=1.0)
             running_client.cancel()
             await asyncio.gather(running_client, return_exceptions=True)
@@ -91,6 +91,6 @@
 def test_the_judge_sees_a_write_that_two_servers_have_carried_out() -> None:
     nodes = [CounterNode("n0"), CounterNode("n1")]
     nodes[0].writes += [Write(1, "n0", "k", "c-0"), Write(2, "n0", "k", "c-1")]
-    assert not carried_twice(nodes)
+    assert not duplicate_writes(nodes)
     nodes[1].writes.append(Write(3, "n1", "k", "c-0"))
-    assert carried_twice(nodes) == {"c-0": 2}
+    assert duplicate_writes(nodes) == {"c-0": 2}
