--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -10,10 +10,10 @@
 
 from lapispass import interface
 from lapispass.core import tables
-from lapispass.core.facts import NodeView
-from lapispass.core.keeper import Keeper
-from lapispass.core.picture import Picture
+from lapispass.core.connection_controller import ConnectionController
 from lapispass.core.plans import Plan, Version
+from lapispass.core.shared_types import NodeView
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
 from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time, streams
@@ -67,10 +67,12 @@
             name: deployment.proxies - len(settings.gates.name) + index
             for index, name in enumerate(settings.gates.name)
         }
-        self.keeper = Keeper(
+        self.connection_controller = ConnectionController(
             operator.classes(settings), bounds, operator.drain_terms(settings), service.clock.now()
         )
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
+        self.table_snapshot = TableSnapshot(
+            deployment.slices, deployment.classes, deployment.admission_mode == "share"
+        )
         self.gates: dict[str, JoinedGate] = {}
         # name: boot id of its last process, and the time at which that left
         self.last_boots: dict[str, tuple[str, int]] = {}
@@ -86,7 +88,7 @@
         as a whole and in order."""
         if any(isinstance(event, interface.RegistryUpdate) for event in events):
             self.update_addresses()
-        changes, mark = self.picture.turn(events, orders, self.addresses)
+        changes, mark = self.table_snapshot.apply_turn(events, orders, self.addresses)
         if changes or mark is not None:
             message = wire.encode_line(wire.turn_message(changes, mark))
             self.counters["gates.turns"] += 1
@@ -142,7 +144,7 @@
         """Evaluates the nodes as the controller sees them and what the gates hold there. Sends the plans that
         follow, and reports the load to the controller."""
         now = self.service.clock.now()
-        self.keeper.see(
+        self.connection_controller.update_nodes(
             now,
             [
                 NodeView(
@@ -157,7 +159,7 @@
                 for status in self.service.controller.server_statuses()
             ],
         )
-        orders = self.keeper.look(now)
+        orders = self.connection_controller.evaluate(now)
         for note in orders.notes:
             self.log.say("drain", text=note)
         for node, load in orders.loads.items():
@@ -221,8 +223,8 @@
             self.secret, hello.proof, nonce, hello.name
         ):
             why = "not a gate of ours"
-        elif hello.slices != self.picture.stands.slices:
-            why = f"gate.slices is {hello.slices}, the deployment has {self.picture.stands.slices}"
+        elif hello.slices != self.table_snapshot.tables.slices:
+            why = f"gate.slices is {hello.slices}, the deployment has {self.table_snapshot.tables.slices}"
         else:
             why = self.name_conflict(hello.name, hello.boot)
         if why:
@@ -240,11 +242,11 @@
         )
         writer.write(
             wire.encode_line(
-                wire.turn_message(self.picture.stands.differences(wire.reported_tables(hello)), None)
+                wire.turn_message(self.table_snapshot.tables.differences(wire.reported_tables(hello)), None)
             )
         )
         self.gates[gate.name] = gate
-        self.keeper.joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
+        self.connection_controller.gate_joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
         self.service.tell(
             interface.ProxyJoined(gate.number, gate.name not in self.last_boots, hello.zone, None)
         )
@@ -273,7 +275,7 @@
                     self.service.tell(interface.BarrierAck(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
-                self.keeper.told(
+                self.connection_controller.report_received(
                     self.service.clock.now(), gate.name, message.serial, wire.class_counts(message)
                 )
             case _:
@@ -286,7 +288,7 @@
             return
         del self.gates[gate.name]
         self.last_boots[gate.name] = self.last_boots[gate.name][0], self.service.clock.now()
-        self.keeper.left(self.service.clock.now(), gate.name)
+        self.connection_controller.gate_left(self.service.clock.now(), gate.name)
         self.service.tell(interface.ProxyLeft(gate.number))
         self.counters["gates.left"] += 1
         self.log.say("gate left", gate=gate.name, why=why)
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -11,8 +11,8 @@
 import h11
 
 from lapispass.core.admission import Refused
-from lapispass.core.facts import ConnectionClass
-from lapispass.core.steering import TRIES_MOST, Go, Unfit
+from lapispass.core.shared_types import ConnectionClass
+from lapispass.core.steering import MAX_NODE_TRIES, Admitted, Unsupported
 from lapispass.gate import upgrade
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
@@ -51,7 +51,7 @@
 
     kind: ConnectionClass
     key: str | None
-    go: Go
+    go: Admitted
     node: Side
     protocol: str | None
     opener: NodeOpener
@@ -96,7 +96,7 @@
             raise
         # The client may have left while the connection to its node was being opened.
         if self.reader.ended or self.writer.transport.is_closing():
-            gate.steering.fail(go.node)
+            gate.steering.admission_failed(go.node)
             node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
             return None
@@ -157,13 +157,13 @@
 
     async def open_node(
         self, kind: ConnectionClass, key: str | None, opener: NodeOpener
-    ) -> tuple[Go, Side, str | None]:
+    ) -> tuple[Admitted, Side, str | None]:
         """Opens a connection to a node that accepts the upgrade. Raises a `Refusal` with a time to wait if
         none does."""
         steering, tried = self.gate.steering, []
-        choice = steering.arrive(self.clock.now(), kind, key)
+        choice = steering.admit(self.clock.now(), kind, key)
         while True:
-            if isinstance(choice, Unfit):
+            if isinstance(choice, Unsupported):
                 raise Refusal(400, choice.why)
             if isinstance(choice, Refused):
                 raise Refusal(503, choice.why, choice.retry_after_us)
@@ -172,19 +172,19 @@
                 side, protocol = await opener.open(choice)
                 return choice, side, protocol
             except UpgradeFailed as error:
-                steering.fail(choice.node)
+                steering.admission_failed(choice.node)
                 self.gate.counters["nodes.refused"] += 1
                 self.gate.log.rate_limited("node refused upgrade", node=choice.node, why=error)
                 now = self.clock.now()
                 if error.final:
                     raise Refusal(error.status, str(error)) from None
-                if key is not None or len(tried) >= TRIES_MOST:
-                    wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
+                if key is not None or len(tried) >= MAX_NODE_TRIES:
+                    wait = steering.admission.refuse(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
                 # Nothing is held or written yet, so another node may be tried.
-                choice = steering.place(now, tried)
+                choice = steering.choose_node(now, tried)
             except BaseException:
-                steering.fail(choice.node)
+                steering.admission_failed(choice.node)
                 raise
 
     async def refuse(self, error: Refusal | BadUpgrade) -> None:
--- a/lapispass/gate/host.py
+++ b/lapispass/gate/host.py
@@ -30,7 +30,7 @@
     """What a source of tables and plans uses: the channel to a controller, or the file of a standalone
     gate."""
 
-    def apply_changes(self, changes: Iterable[tables.Change]) -> None:
+    def apply_changes(self, changes: Iterable[tables.TableChange]) -> None:
         """Applies table changes and barriers at once. From here on no message begins under the older
         tables."""
 
--- a/lapispass/gate/move.py
+++ b/lapispass/gate/move.py
@@ -7,9 +7,9 @@
 
 import asyncio
 
-from lapispass.core.connections import Held
-from lapispass.core.facts import NEVER
-from lapispass.core.steering import Go
+from lapispass.core.connections import HeldConnection
+from lapispass.core.shared_types import NEVER
+from lapispass.core.steering import Admitted
 from lapispass.gate.frames import Side
 from lapispass.gate.limits import Limits
 from lapispass.gate.node_connection import UpgradeFailed
@@ -31,7 +31,7 @@
 
     __slots__ = ("go", "new", "opening", "step", "token", "until")
 
-    def __init__(self, go: Go, opening: asyncio.Task[tuple[Side, str | None]]) -> None:
+    def __init__(self, go: Admitted, opening: asyncio.Task[tuple[Side, str | None]]) -> None:
         self.go, self.opening = go, opening
         self.step = "opening"
         self.new: Side | None = None
@@ -52,26 +52,26 @@
         self.step, self.until = "stopping", until
         return True
 
-    def prove(self, old: Side, held: Held, now: int, limits: Limits) -> bool:
+    def prove(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> bool:
         """Has the old node show that it has read everything. True in the call in which it has done so."""
-        if self.step == "stopping" and not held.inside:
+        if self.step == "stopping" and not held.in_message:
             self.step, self.token = "proving", old.ping(now)
         if self.step == "proving" and old.acked_token >= self.token:
             self.step, self.until = "quieting", now + limits.fence_us
             return True
         return False
 
-    def close_when_quiet(self, old: Side, held: Held, now: int, limits: Limits) -> None:
+    def close_when_quiet(self, old: Side, held: HeldConnection, now: int, limits: Limits) -> None:
         """Closes the connection to the old node between two of its messages, once it is quiet or the time
         limit for that is over."""
-        is_quiet = now - held.last_us >= limits.quiet_us or now >= self.until
+        is_quiet = now - held.last_message_us >= limits.quiet_us or now >= self.until
         if self.step == "quieting" and not old.mid_message and is_quiet:
             old.close(1000, "moved")
             self.step, self.until = "parting", now + limits.close_us
 
-    def next_due(self, held: Held, limits: Limits) -> int:
+    def next_due(self, held: HeldConnection, limits: Limits) -> int:
         """The time at which something has to be done even if nothing is received."""
-        quiet_at = held.last_us + limits.quiet_us if self.step == "quieting" else NEVER
+        quiet_at = held.last_message_us + limits.quiet_us if self.step == "quieting" else NEVER
         return min(self.until, quiet_at)
 
     def abandon(self) -> None:
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from lapispass.core import tables
-from lapispass.core.facts import DrainTerms
 from lapispass.core.plans import Plan
+from lapispass.core.shared_types import DrainTerms
 from lapispass.core.steering import Steering
 from lapispass.gate.evented_reader import EventedProtocol, EventedReader
 from lapispass.gate.handshake import Handshake
@@ -84,27 +84,27 @@
 
     # orders
 
-    def apply_changes(self, changes: Iterable[tables.Change]) -> None:
+    def apply_changes(self, changes: Iterable[tables.TableChange]) -> None:
         """Applies table changes and barriers at once. From here on no message begins under the older
         tables."""
         now = self.clock.now()
-        effects = self.steering.apply(changes)
+        effects = self.steering.apply_changes(changes)
         for number in effects.stopped:
             if tunnel := self.tunnels.get(number):
                 tunnel.start_fence(now)
-        for number in effects.freed:
+        for number in effects.to_recheck:
             if tunnel := self.tunnels.get(number):
                 tunnel.wake.set()
-        self.acknowledge(effects.answers)
+        self.acknowledge(effects.acknowledged)
 
     def follow_plan(self, plan: Plan) -> bool:
         """Follows a plan of the controller; False if a newer one is in force. Nodes that the plan lists as
         dead must answer a ping."""
         now, known = self.clock.now(), self.steering.plan.dead
-        if not self.steering.follow(now, plan):
+        if not self.steering.apply_plan(now, plan):
             return False
         for node in plan.dead - known:
-            for held in list(self.steering.book.at(node)):
+            for held in list(self.steering.connections.at_node(node)):
                 if tunnel := self.tunnels.get(held.number):
                     tunnel.start_fence(now)
         return True
@@ -210,10 +210,10 @@
             log.write_on()
             now = self.clock.now()
             was = self.steering.writable
-            for number in self.steering.expired(now):
+            for number in self.steering.expire_lease(now):
                 # The node must have read everything, or be cut off, before the lease ends.
                 if tunnel := self.tunnels.get(number):
-                    tunnel.start_fence(now, max(now + 1, self.steering.lease_ends()))
+                    tunnel.start_fence(now, max(now + 1, self.steering.lease_end()))
             if was != self.steering.writable:
                 self.log.warn(
                     "lease renewed: writes resume"
@@ -221,13 +221,13 @@
                     else "no answer from the controller within the lease: writes stop"
                 )
                 for tunnel in self.tunnels.values():
-                    if tunnel.held.waiting:
+                    if tunnel.held.write_blocked:
                         tunnel.wake.set()
             if self.standalone is not None:
                 self.standalone.tick(now)
             for release in self.steering.tick(now, tick_us):
                 if tunnel := self.tunnels.get(release.number):
-                    self.steering.leave(tunnel.held)
+                    self.steering.begin_release(tunnel.held)
                     tunnel.release = release.how
                     tunnel.wake.set()
 
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -4,9 +4,9 @@
 from __future__ import annotations
 
 from lapispass.core import tables
-from lapispass.core.facts import NodeView
-from lapispass.core.keeper import Counted, Keeper
-from lapispass.core.plans import NONE
+from lapispass.core.connection_controller import ConnectionController, ReportedCounts
+from lapispass.core.plans import NO_VERSION
+from lapispass.core.shared_types import NodeView
 from lapispass.core.start_times import local_start
 from lapispass.gate.host import TableHost
 from lapispass.operator import read as operator
@@ -23,10 +23,10 @@
         self.gate = gate
         settings = source.told
         now = gate.clock.now()
-        self.keeper = Keeper(
+        self.connection_controller = ConnectionController(
             operator.classes(settings), operator.bounds(settings), operator.drain_terms(settings), now
         )
-        self.keeper.joined(now, gate.settings.name, gate.settings.zone, NONE, {})
+        self.connection_controller.gate_joined(now, gate.settings.name, gate.settings.zone, NO_VERSION, {})
         self.views: list[NodeView] = []
         # node: start time as in the file, and by this process's clock
         self.starts: dict[str, tuple[int, int]] = {}
@@ -54,7 +54,7 @@
             if node.state != Node.GONE:
                 wanted.nodes[node.id] = tables.Address(node.address, node.zone)
             if node.state != Node.READY:
-                wanted.out.add(node.id)
+                wanted.withdrawn.add(node.id)
         ready = [node.id for node in settings.node if node.state == Node.READY]
         lines = {line.slice: line.owner for line in settings.line}
         for number in range(gate.settings.slices):
@@ -93,14 +93,14 @@
             self.reported, self.serial = now, self.serial + 1
             rows = {
                 node: {
-                    kind: Counted(row.held, row.opened, row.messages, row.octets)
+                    kind: ReportedCounts(row.held, row.opened, row.messages, row.octets)
                     for kind, row in by_class.items()
                 }
-                for node, by_class in gate.steering.book.report().items()
+                for node, by_class in gate.steering.connections.report().items()
             }
-            self.keeper.told(now, name, self.serial, rows)
-        self.keeper.see(now, self.views)
-        orders = self.keeper.look(now)
+            self.connection_controller.report_received(now, name, self.serial, rows)
+        self.connection_controller.update_nodes(now, self.views)
+        orders = self.connection_controller.evaluate(now)
         for note in orders.notes:
             gate.log.say("drain", text=note)
         if plan := orders.plans.get(name):
--- a/lapispass/gate/tunnel.py
+++ b/lapispass/gate/tunnel.py
@@ -9,8 +9,8 @@
 from wsproto.events import CloseConnection, Event, Message, Ping, Pong
 
 from lapispass.core.admission import Refused
-from lapispass.core.connections import Held
-from lapispass.core.facts import NEVER
+from lapispass.core.connections import HeldConnection
+from lapispass.core.shared_types import NEVER
 from lapispass.gate import close_codes
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
@@ -77,7 +77,7 @@
         self.client = Side("screen", reader, writer, accepted.early, now, self.limits.buffer_bytes)
         self.node: Side | None = accepted.node
         self.protocol, self.opener = accepted.protocol, accepted.opener
-        self.held: Held = gate.steering.stand(now, accepted.kind, accepted.go, accepted.key)
+        self.held: HeldConnection = gate.steering.established(now, accepted.kind, accepted.go, accepted.key)
         self.pending_message: Message[Any] | None = None  # a client's message that may not be sent on yet
         self.move: Move | None = None
         self.closing: CloseHandshake | None = None
@@ -127,12 +127,12 @@
                         # This message cannot be sent any more. If it were kept, the client's own close frame
                         # behind it would never be read. The client has been sent a close frame, so it knows
                         # that the message was not accepted.
-                        self.discarding, self.pending_message, self.held.waiting = True, None, False
+                        self.discarding, self.pending_message, self.held.write_blocked = True, None, False
                         continue
                     if not client.mid_message and not self.may_begin(now):
-                        self.pending_message, self.held.waiting = event, True
+                        self.pending_message, self.held.write_blocked = event, True
                         return
-                    self.pending_message, self.held.waiting = None, False
+                    self.pending_message, self.held.write_blocked = None, False
                     self.forward_to_node(event, now)
                 case Ping():
                     client.send(event.response())
@@ -158,9 +158,9 @@
         if not self.client.count_fragment(event, self.limits.message_bytes):
             self.close(1009, "message too long", now)
             return
-        self.held.inside = self.client.mid_message
+        self.held.in_message = self.client.mid_message
         if self.node is not None and self.node.forward(event):
-            self.gate.steering.wrote(now, self.held, len(event.data))
+            self.gate.steering.message_written(now, self.held, len(event.data))
             self.gate.counters["messages.up"] += event.message_finished
 
     async def read_node(self, now: int) -> None:
@@ -183,7 +183,7 @@
                         self.close(1009, "message too long", now)
                         return
                     self.client.forward(event)
-                    self.held.last_us = now
+                    self.held.last_message_us = now
                     self.held.messages += 1
                     self.held.octets += len(event.data)
                     self.gate.counters["messages.down"] += event.message_finished
@@ -246,12 +246,12 @@
         are never sent again."""
         gate, held, node = self.gate, self.held, self.node
         gate.counters["nodes.lost"] += 1
-        cut_short = held.unproven or held.inside or (node is not None and node.mid_message)
+        cut_short = held.unconfirmed or held.in_message or (node is not None and node.mid_message)
         if node is not None:
             node.reset()  # nothing more reaches the node, which is as good as read for rule 2
         self.node = None
         self.proof, self.proof_until = 0, 0
-        gate.acknowledge(gate.steering.cut(held))
+        gate.acknowledge(gate.steering.node_disconnected(held))
         if self.closing is not None:
             if self.closing.step == "node":
                 self.finished = True
@@ -314,7 +314,7 @@
 
     def check_times(self, now: int) -> None:
         """Checks the idle time-out and the time limit of a close handshake."""
-        idle_us, idle_for = self.limits.idle_us, now - self.held.last_us
+        idle_us, idle_for = self.limits.idle_us, now - self.held.last_message_us
         if idle_us and idle_for > idle_us and self.closing is None and self.move is None:
             self.end_reason = "idle"
             self.close(1000, "idle", now)
@@ -345,7 +345,7 @@
     def advance_fence(self, node: Side, now: int) -> None:
         """Sends a ping after the last message and checks for its answer. A node that does not answer in time
         is disconnected."""
-        if not self.proof and not self.held.inside and not node.sent_close:
+        if not self.proof and not self.held.in_message and not node.sent_close:
             self.proof, self.proof_written = node.ping(now), self.held.written
         if self.proof and node.acked_token >= self.proof:
             self.proven(self.proof_written)
@@ -362,16 +362,16 @@
         self.proof, self.proof_until = 0, 0
         self.gate.counters["fences.proven"] += 1
         self.gate.acknowledge(
-            self.gate.steering.proven(self.held, self.held.written if written is None else written)
+            self.gate.steering.read_confirmed(self.held, self.held.written if written is None else written)
         )
 
     def begin_move(self, now: int) -> None:
         """Starts to connect to the new node, while the old node serves on."""
-        target = self.gate.steering.target(now, self.held)
+        target = self.gate.steering.move_target(now, self.held)
         if isinstance(target, Refused):
-            self.gate.steering.stay(self.held)
+            self.gate.steering.cancel_release(self.held)
             return
-        self.gate.steering.leave(self.held)
+        self.gate.steering.begin_release(self.held)
         opening = asyncio.get_running_loop().create_task(self.opener.open(target))
         opening.add_done_callback(lambda _: self.wake.set())
         self.move = Move(target, opening)
@@ -405,7 +405,7 @@
         self.gate.counters["moves.failed"] += 1
         self.gate.log.rate_limited("move failed", node=self.move.go.node, why=why)
         self.drop_move()
-        self.held.moves_failed += 1
+        self.held.failed_moves += 1
         if self.node is None:
             self.end_reason = "node lost"
             self.close_with_retry_delay(1012, now)
@@ -416,8 +416,8 @@
             return
         move, self.move = self.move, None
         move.abandon()
-        self.gate.steering.fail(move.go.node)
-        self.gate.steering.stay(self.held)
+        self.gate.steering.admission_failed(move.go.node)
+        self.gate.steering.cancel_release(self.held)
 
     def switch(self, now: int) -> None:
         """Switches to the new node, on a message boundary in both directions, after the old node has
@@ -437,7 +437,7 @@
         if self.closing is not None:
             return
         self.drop_move()
-        self.gate.steering.leave(self.held)
+        self.gate.steering.begin_release(self.held)
         if not self.client.close(code, reason):
             self.close_node(1001, now)
             return
@@ -470,7 +470,7 @@
             if side is not None:
                 due = min(due, side.next_due(limits))
         if limits.idle_us:
-            due = min(due, self.held.last_us + limits.idle_us)
+            due = min(due, self.held.last_message_us + limits.idle_us)
         if self.proof_until:
             due = min(due, self.proof_until)
         if self.closing is not None:
@@ -484,7 +484,7 @@
         self.drop_move()
         limits, steering = self.limits, self.gate.steering
         if self.node is not None:
-            if self.node.got_close or not self.held.unproven:
+            if self.node.got_close or not self.held.unconfirmed:
                 self.node.close_after_flush(limits.close_us / 1e6)
             else:
                 # Rule 2: unsent bytes were written under older tables. The kernel must not send them after
@@ -495,4 +495,4 @@
         else:
             self.client.writer.transport.abort()
         self.gate.counters[f"ended.{self.end_reason.replace(' ', '_')}"] += 1
-        self.gate.closed(self, steering.gone(self.held))
+        self.gate.closed(self, steering.closed(self.held))
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -41,7 +41,7 @@
                 if self.writer is not None:
                     self.writer.transport.abort()
                 self.writer = None
-                gate.steering.fences.restart()
+                gate.steering.barriers.reset()
                 self.barriers_at.clear()
             lasted = gate.clock.now() - started
             wait_us = (
@@ -153,7 +153,7 @@
                         name: (row.held, row.opened, row.messages, row.octets)
                         for name, row in by_class.items()
                     }
-                    for node, by_class in gate.steering.book.report().items()
+                    for node, by_class in gate.steering.connections.report().items()
                 }
                 writer.write(wire.encode_line(wire.Report(self.serial, rows)))
             await writer.drain()
--- a/lapispass/gate/wire.py
+++ b/lapispass/gate/wire.py
@@ -16,7 +16,7 @@
 
 from lapispass.core import tables
 from lapispass.core.admission import Allotment
-from lapispass.core.keeper import Counted
+from lapispass.core.connection_controller import ReportedCounts
 from lapispass.core.plans import Ceiling, Curve, Plan, Version
 
 PROTOCOL = 1
@@ -143,11 +143,11 @@
         current.slices,
         nonce,
         key_proof,
-        (plan.life, plan.number),
+        (plan.incarnation, plan.number),
         drains,
         dict(current.owners),
         {number: (share.share, share.shut) for number, share in current.shares.items()},
-        sorted(current.out),
+        sorted(current.withdrawn),
         {node: (address.address, address.zone) for node, address in current.nodes.items()},
     )
 
@@ -157,39 +157,39 @@
     reported = tables.Tables(hello.slices)
     reported.owners = dict(hello.lines)
     reported.shares = {number: tables.Share(*share) for number, share in hello.shares.items()}
-    reported.out = set(hello.out)
+    reported.withdrawn = set(hello.out)
     reported.nodes = {node: tables.Address(*address) for node, address in hello.nodes.items()}
     return reported
 
 
-def turn_message(changes: Iterable[tables.Change], mark: int | None) -> Turn:
+def turn_message(changes: Iterable[tables.TableChange], mark: int | None) -> Turn:
     message = Turn([], [], [], [], mark)
     for change in changes:
         match change:
-            case tables.SetLine(number, owner):
+            case tables.SetOwner(number, owner):
                 message.lines.append((number, owner))
             case tables.SetShare(number, share, shut):
                 message.shares.append((number, share, shut))
-            case tables.SetOut(node, out):
+            case tables.SetWithdrawn(node, out):
                 message.out.append((node, out))
             case tables.SetNode(node, address):
                 message.nodes.append((node, *(address or ("", ""))))
     return message
 
 
-def table_changes(turn: Turn) -> list[tables.Change]:
+def table_changes(turn: Turn) -> list[tables.TableChange]:
     """The changes in an order that is safe at every step: new addresses and nodes taken out come first; nodes
     let in again and nodes removed come last."""
-    ordered: list[tables.Change] = [
+    ordered: list[tables.TableChange] = [
         tables.SetNode(node, tables.Address(address, zone)) for node, address, zone in turn.nodes if address
     ]
-    ordered += [tables.SetOut(node, True) for node, out in turn.out if out]
-    ordered += [tables.SetLine(number, owner) for number, owner in turn.lines]
+    ordered += [tables.SetWithdrawn(node, True) for node, out in turn.out if out]
+    ordered += [tables.SetOwner(number, owner) for number, owner in turn.lines]
     ordered += [tables.SetShare(number, share, shut) for number, share, shut in turn.shares]
-    ordered += [tables.SetOut(node, False) for node, out in turn.out if not out]
+    ordered += [tables.SetWithdrawn(node, False) for node, out in turn.out if not out]
     ordered += [tables.SetNode(node, None) for node, address, _ in turn.nodes if not address]
     if turn.mark is not None:
-        ordered.append(tables.Asked(turn.mark))
+        ordered.append(tables.BarrierRequest(turn.mark))
     return ordered
 
 
@@ -198,7 +198,7 @@
     curves = list(dict.fromkeys(ceiling.curve for ceiling in plan.ceilings.values()))
     indexes = {curve: index for index, curve in enumerate(curves)}
     return PlanMessage(
-        (plan.version.life, plan.version.number),
+        (plan.version.incarnation, plan.version.number),
         [(curve.deadline_us - now, [(at - now, share) for at, share in curve.points]) for curve in curves],
         {
             node: (indexes[ceiling.curve], ceiling.held, ceiling.offset)
@@ -246,10 +246,10 @@
     )
 
 
-def class_counts(report: Report) -> dict[str, dict[str, Counted]]:
+def class_counts(report: Report) -> dict[str, dict[str, ReportedCounts]]:
     """The rows of a report. Negative figures raise ValueError."""
     rows = {
-        node: {name: Counted(*row) for name, row in by_class.items()}
+        node: {name: ReportedCounts(*row) for name, row in by_class.items()}
         for node, by_class in report.rows.items()
     }
     if any(min(row) < 0 for by_class in report.rows.values() for row in by_class.values()):
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -169,14 +169,14 @@
     async with standalone_gate(tmp_path, 1) as env:
         answer = await asyncio.wait_for(exchange(env, sent), 2)
         assert answer.startswith(f"HTTP/1.1 {status}"), answer
-        assert not env.nodes["n0"].came and not env.gate.steering.coming
+        assert not env.nodes["n0"].came and not env.gate.steering.opening
 
 
 async def test_a_client_that_never_asks_is_closed_in_time_without_a_word(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
         assert await asyncio.wait_for(exchange(env, b""), 2) == ""
         assert env.gate.counters["screens.never_asked"] == 1
-        assert not env.nodes["n0"].came and not env.gate.steering.coming
+        assert not env.nodes["n0"].came and not env.gate.steering.opening
 
 
 async def test_a_handshake_that_drips_is_ended_too(tmp_path: Path) -> None:
@@ -352,7 +352,7 @@
     async with Party(serve) as node, standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env:
         response = await asyncio.wait_for(exchange(env, UPGRADE), 2)
         assert response.startswith("HTTP/1.1 503") and "Retry-After" in response
-        assert not env.gate.steering.coming
+        assert not env.gate.steering.opening
 
 
 async def test_a_node_that_sends_junk_or_falls_silent_is_left(tmp_path: Path) -> None:
@@ -448,7 +448,7 @@
         _, writer = await raw_client(env)
         writer.write(frame(0x01, b"one "))  # a fragment; the drain begins before its end
         node = next(name for name, node in env.nodes.items() if node.held)
-        await until(lambda: any(held.inside for held in env.gate.steering.book))
+        await until(lambda: any(held.in_message for held in env.gate.steering.connections))
         env.set(**{node: "DRAINING"})
         await asyncio.sleep(0.3)
         writer.write(frame(0x80, b"message"))
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -161,7 +161,7 @@
         await asyncio.sleep(0.5)
         await env.controller()
         steering = env.gates["g0"].steering
-        await until(lambda: steering.plan.version.life > before.version.life)
+        await until(lambda: steering.plan.version.incarnation > before.version.incarnation)
         assert abs(steering.plan.ceilings["n0"].deadline_us - before.ceilings["n0"].deadline_us) < 400 * MS
         await until(lambda: not env.nodes["n0"].held)
         assert clock_us() < begun + 4_000 * MS
@@ -219,9 +219,9 @@
         async with connect(env.url("g0", f"/till?key={key}")) as till:
             await till.send(f"w {key} 1")
             gate = env.gates["g0"]
-            await until(lambda: any(held.unproven for held in gate.steering.book))
+            await until(lambda: any(held.unconfirmed for held in gate.steering.connections))
             env.list("n0", "Terminating")
-            await until(lambda: gate.steering.fences.unproven)
+            await until(lambda: gate.steering.barriers.unconfirmed)
             await until(lambda: gate.counters["fences.cut"])
             with pytest.raises(ConnectionClosed):
                 await till.recv()
@@ -245,7 +245,7 @@
             await till.send(f"w {key} 2")
             await board.send("still")  # connections of a class that does not write go on
             assert await board.recv() == "still"
-            await until(lambda: any(held.waiting for held in gate.steering.book))
+            await until(lambda: any(held.write_blocked for held in gate.steering.connections))
             assert len(env.nodes["n1"].writes) == 1
             await env.controller()
             assert await till.recv() == "ok 2"
@@ -261,7 +261,7 @@
         old = Plan(Version(1, 1), {}, {})
         gate.uplink.handle(wire.plan_message(old, now))
         assert gate.counters["uplink.plans_old"] == 1
-        version = (gate.steering.plan.version.life, gate.steering.plan.version.number + 1)
+        version = (gate.steering.plan.version.incarnation, gate.steering.plan.version.number + 1)
         for points, index, returns in (
             ([(0, 0.5), (0, 0.4)], 0, 5.0),
             ([(0, 2.0)], 0, 5.0),
@@ -316,10 +316,10 @@
         held = await open_boards(env, 30, "g0")
         controller = env.service.controller
         await until(lambda: sum(status.held_load for status in controller.server_statuses()) > 0.5)
-        await until(lambda: sum(env.gate_server.keeper.held().values()) == 30)
+        await until(lambda: sum(env.gate_server.connection_controller.held().values()) == 30)
         await env.kill_gate("g0")
-        env.gate_server.keeper.left(env.service.clock.now() - 6_000 * MS, "g0")
-        await until(lambda: "g0" not in env.gate_server.keeper.gates)
+        env.gate_server.connection_controller.gate_left(env.service.clock.now() - 6_000 * MS, "g0")
+        await until(lambda: "g0" not in env.gate_server.connection_controller.gates)
         await until(lambda: sum(status.held_load for status in controller.server_statuses()) == 0)
         for board in held:
             await board.close()
