--- a/tests/test_uplink.py
+++ b/tests/test_uplink.py
@@ -1,4 +1,4 @@
-"""A gate's stream to its controller: the handshake that opens it."""
+"""The handshake of a gate's connection to its controller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 from parties import Party, play
-from support_gate import CLASSES, QUICK, until
+from support_gate import CLASSES, SHORT_LIMITS, until
 
 from lapispass.gate import wire
 from lapispass.gate.service import Gate
@@ -21,14 +21,15 @@
 
 @asynccontextmanager
 async def gate_at(controller: str, folder: Path) -> AsyncIterator[Gate]:
-    """A gate that joins the controller at this address; it runs until the end, and ends in order."""
+    """A gate that joins the controller at this address. It runs until the block ends and is stopped in
+    order."""
     (folder / "key").write_bytes(SECRET)
     file = folder / "gate.textproto"
     file.write_text(
         f'{CLASSES} gate {{ name: "g0" listen: "127.0.0.1:0" controller: "{controller}" '
         f'slices: 12 secret_file: "key" }}'
     )
-    gate = Gate(operator.read(file), 1, QUICK)
+    gate = Gate(operator.read(file), 1, SHORT_LIMITS)
     running = asyncio.create_task(gate.run())
     try:
         yield gate
@@ -40,20 +41,22 @@
 async def answer_slowly(pause_s: float, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A controller that pauses before each of its two messages of the handshake."""
     await asyncio.sleep(pause_s)
-    writer.write(wire.line(wire.Challenge("nonce")))
-    hello = wire.GATE.decode(await reader.readuntil(b"\n"))
+    writer.write(wire.encode_line(wire.Challenge("nonce")))
+    hello = wire.GATE_DECODER.decode(await reader.readuntil(b"\n"))
     assert isinstance(hello, wire.Hello)
     await asyncio.sleep(pause_s)
-    writer.write(wire.line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), QUICK.lease_us)))
+    writer.write(
+        wire.encode_line(wire.Welcome(wire.proof(SECRET, hello.nonce, "controller"), SHORT_LIMITS.lease_us))
+    )
     await reader.read()
 
 
 @pytest.mark.parametrize(("share", "joins"), [(0.2, True), (0.7, False)])
 def test_the_messages_of_a_handshake_share_one_deadline(tmp_path: Path, share: float, joins: bool) -> None:
-    """Guards against a time for each message: a slow controller held a gate for twice `connect_us`."""
+    """With a time limit for each message, a slow controller could hold a gate for twice `connect_us`."""
 
     async def test() -> None:
-        pause_s = share * QUICK.connect_us / 1e6
+        pause_s = share * SHORT_LIMITS.connect_us / 1e6
         async with (
             Party(partial(answer_slowly, pause_s)) as controller,
             gate_at(controller.address, tmp_path) as gate,
@@ -65,7 +68,7 @@
 
 
 async def never_end_a_line(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A controller whose first message has no end."""
+    """A controller whose first message never ends."""
     try:
         while True:
             writer.write(bytes(1 << 20))
@@ -75,7 +78,8 @@
 
 
 def test_a_line_without_end_costs_a_gate_its_stream_alone(tmp_path: Path) -> None:
-    """Guards against a gate that ended, with all it held, on a controller's line beyond `line_bytes`."""
+    """A line longer than `line_bytes` from the controller once ended the whole gate with all its
+    connections."""
 
     async def test() -> None:
         async with Party(never_end_a_line) as controller, gate_at(controller.address, tmp_path) as gate:
