--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -56,7 +56,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines
+from lapispass.net.lines import LineSplitter
 from lapispass.net.probes import Probes
 from lapispass.net.registry import Registry
 from lapispass.net.relay import Calls, News
@@ -294,9 +294,9 @@
 
 def cut_up(text: bytes) -> Iterator[memoryview]:
     """The lines of a text as they come in reads of the usual size."""
-    lines = Lines(LIMITS.message_bytes)
+    lines = LineSplitter(LIMITS.message_bytes)
     for begin in range(0, len(text), LIMITS.read_bytes):
-        yield from lines.cut(text[begin : begin + LIMITS.read_bytes])
+        yield from lines.split(text[begin : begin + LIMITS.read_bytes])
 
 
 def texts(write: Callable[[int], bytes]) -> dict[int, bytes]:
@@ -314,7 +314,7 @@
 
         def read(text: bytes) -> None:
             for line in cut_up(text):
-                collectors.take(line, client)
+                collectors.handle_line(line, client)
             heard.clear()
 
         return least_ms({count: partial(read, text) for count, text in told.items()}, repeat)
--- a/lapispass/__main__.py
+++ b/lapispass/__main__.py
@@ -9,9 +9,9 @@
         from lapispass.cli.main import main as verbs
 
         verbs()
-    signals.ignore()  # before the rest is loaded, which takes most of the start
+    signals.ignore_all()  # before the rest is loaded, which takes most of the start
     from lapispass.net.service import main
 
     status = main()
-    signals.hold()  # until the interpreter is gone
+    signals.block_all()  # until the interpreter is gone
     sys.exit(status)
--- a/lapispass/cli/main.py
+++ b/lapispass/cli/main.py
@@ -144,8 +144,8 @@
     from lapispass.net import signals
 
     if sys.argv[1:2] in (["run"], ["gate"]):
-        signals.ignore()
+        signals.ignore_all()
     try:
         app()
     finally:
-        signals.hold()
+        signals.block_all()
--- a/lapispass/gate/desk.py
+++ b/lapispass/gate/desk.py
@@ -16,8 +16,8 @@
 from lapispass.core.plans import Plan, Version
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time, streams
-from lapispass.net.log import Part
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries, stream_protocols
+from lapispass.net.log import PartLogger
 from lapispass.net.service import Service
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile, Source
@@ -70,7 +70,7 @@
         self.known: dict[str, tuple[str, int]] = {}  # name: the process that had it last, and when it left
         self.addresses: dict[str, tables.Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.log, self.counters = Part("gates", self.limits.log_every_us), service.counters
+        self.log, self.counters = PartLogger("gates", self.limits.log_every_us), service.counters
         self.address = ""
 
     # beside the service's turns
@@ -108,12 +108,12 @@
 
     async def run(self) -> None:
         """Listens, and looks after plans."""
-        listener = await listener_in_time(self.told.listen, self.limits.connections)
+        listener = await listen_with_retries(self.told.listen, self.limits.connections)
         server = Acceptor(
             listener,
-            streams(self.serve, self.limits.line_bytes),
+            stream_protocols(self.serve, self.limits.line_bytes),
             name="gates",
-            at_once=self.limits.at_once,
+            accept_batch=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
--- a/lapispass/gate/evented_reader.py
+++ b/lapispass/gate/evented_reader.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from lapispass.net.dial import open_transport
-from lapispass.net.http import split
+from lapispass.net.http import split_address
 from lapispass.net.streams import Reader
 
 
@@ -67,5 +67,5 @@
     loop = asyncio.get_running_loop()
     reader = EventedReader(limit, wake)
     protocol = EventedProtocol(reader)
-    transport = await open_transport(lambda: protocol, *split(address))
+    transport = await open_transport(lambda: protocol, *split_address(address))
     return reader, asyncio.StreamWriter(transport, protocol, reader, loop)
--- a/lapispass/gate/host.py
+++ b/lapispass/gate/host.py
@@ -11,7 +11,7 @@
 from lapispass.gate.limits import Limits
 from lapispass.net.clock import Clock
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator import operator_pb2
 
 
@@ -22,7 +22,7 @@
     limits: Limits
     clock: Clock
     counters: Counters
-    log: Part
+    log: PartLogger
     steering: Steering
 
 
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -18,10 +18,10 @@
 from lapispass.gate.tunnel import Tunnel
 from lapispass.gate.uplink import Uplink
 from lapispass.net import call_failures, log, process
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries
 from lapispass.net.clock import Clock
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile, Source
 
@@ -36,7 +36,7 @@
         self.source, self.settings = source, settings.gate
         self.limits = limits or Limits.from_settings(settings.gate)
         self.clock, self.counters = Clock(), Counters()
-        self.log = Part("gate", self.limits.log_every_us)
+        self.log = PartLogger("gate", self.limits.log_every_us)
         self.terms: DrainTerms = operator.drain_terms(settings)
         self.key_parameter = settings.gate.key_parameter
         self.classes = operator.classes(settings)
@@ -113,12 +113,12 @@
     async def run(self) -> None:
         """Serves until `stop()`, then closes what it holds in order."""
         loop = asyncio.get_running_loop()
-        listener = await listener_in_time(self.settings.listen, self.limits.backlog)
+        listener = await listen_with_retries(self.settings.listen, self.limits.backlog)
         self.server = Acceptor(
             listener,
             self.take,
             name="screens",
-            at_once=self.limits.at_once,
+            accept_batch=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
@@ -201,7 +201,7 @@
         tick_us = self.limits.tick_us
         while True:
             await asyncio.sleep(tick_us / 1e6)
-            log.write_on()
+            log.flush_pending()
             now = self.clock.now()
             was = self.steering.writable
             for number in self.steering.expired(now):
@@ -245,10 +245,10 @@
 async def serve(path: str | Path, seed: int) -> None:
     """A whole process: signals, the operator file and the gate."""
     gate = Gate(operator.read_at_start(path), seed)
-    process.on_signals(gate.stop, gate.print_counters, gate.read_again)
+    process.install_signal_handlers(gate.stop, gate.print_counters, gate.read_again)
     await gate.run()
 
 
 def main(path: str | Path, seed: int, lines: logging.Formatter | None = None) -> int:
     """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
-    return process.status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
+    return process.exit_status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -9,7 +9,7 @@
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
 from lapispass.gate.host import TableHost
-from lapispass.net.http import split, within
+from lapispass.net.http import split_address, within
 
 
 class Uplink:
@@ -55,7 +55,7 @@
         gate, limits = self.gate, self.gate.limits
         reader, writer = await within(
             limits.connect_us,
-            asyncio.open_connection(*split(self.address), limit=limits.line_bytes),
+            asyncio.open_connection(*split_address(self.address), limit=limits.line_bytes),
             limits.late_us,
             lambda streams: streams[1].transport.abort(),
         )
--- a/lapispass/net/acceptor.py
+++ b/lapispass/net/acceptor.py
@@ -10,8 +10,8 @@
 
 from lapispass.core import momentary
 from lapispass.net.counters import Counters
-from lapispass.net.http import split
-from lapispass.net.log import Part
+from lapispass.net.http import split_address
+from lapispass.net.log import PartLogger
 from lapispass.net.resilient_socket import ResilientSocket
 from lapispass.net.streams import Reader, is_readable
 from lapispass.retry import retry
@@ -19,35 +19,37 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
-PAUSE_US = 5_000  # before the next attempt, where there is no room or accept fails again and again
+RETRY_PAUSE_US = 5_000  # before the next attempt, where there is no room or accept fails again and again
 ATTEMPTS = 8  # that fail in a row, before a pause
-DESCRIPTOR_WAIT_US = 300_000  # without a descriptor, before `exhausted` is called, and between two such calls
+DESCRIPTOR_WAIT_US = (
+    300_000  # without a descriptor, before `on_exhausted` is called, and between two such calls
+)
 
 
-def listener_at(address: str, backlog: int) -> socket.socket:
+def listen_at(address: str, backlog: int) -> socket.socket:
     """A socket that listens at `host:port`; a ValueError where that is no address."""
-    host, port = split(address)
+    host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     return ResilientSocket.adopt(socket.create_server((host, port), family=family, backlog=backlog))
 
 
-async def listener_in_time(address: str, backlog: int) -> socket.socket:
-    """As `listener_at`. An address that cannot be had for a moment, as while a former process ends, is tried
+async def listen_with_retries(address: str, backlog: int) -> socket.socket:
+    """As `listen_at`. An address that cannot be had for a moment, as while a former process ends, is tried
     for a while."""
-    return await retry(lambda: listener_at(address, backlog), _may_be_had)
+    return await retry(lambda: listen_at(address, backlog), _is_transient)
 
 
 async def bound_address(listener: socket.socket) -> str:
     """The `host:port` that a listener has got."""
-    return await retry(lambda: "{}:{}".format(*listener.getsockname()[:2]), _may_be_had)
+    return await retry(lambda: "{}:{}".format(*listener.getsockname()[:2]), _is_transient)
 
 
-def _may_be_had(error: Exception) -> bool:
+def _is_transient(error: Exception) -> bool:
     """Whether a further attempt at an address may succeed."""
     return isinstance(error, OSError) and error.errno in momentary.LOCAL
 
 
-def streams(serve: Serve, read_bytes: int) -> ProtocolFactory:
+def stream_protocols(serve: Serve, read_bytes: int) -> ProtocolFactory:
     """A factory of protocols that serve each connection by its streams, in a task of its own."""
 
     def protocol() -> asyncio.StreamReaderProtocol:
@@ -73,23 +75,23 @@
         protocol: ProtocolFactory,
         *,
         name: str,
-        at_once: int,
-        log: Part,
+        accept_batch: int,
+        log: PartLogger,
         counters: Counters,
         has_room: Callable[[], bool] = lambda: True,
         make_room: Callable[[], bool] = lambda: True,
-        exhausted: Callable[[], object] = lambda: None,
-        read_most: int | None = None,
+        on_exhausted: Callable[[], object] = lambda: None,
+        max_read_bytes: int | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         """`name` begins the names of the counters. Without `has_room`, `make_room` is asked for each
-        connection that waits; where it makes none, the connection waits on. `exhausted` may free a
-        descriptor of this process, once it has had none for a while. `read_most` bounds the bytes that one
-        connection gives at a time, until others have their turn."""
+        connection that waits; where it makes none, the connection waits on. `on_exhausted` may free a
+        descriptor of this process, once it has had none for a while. `max_read_bytes` bounds the bytes that
+        one connection gives at a time, until others have their turn."""
         listener.setblocking(False)
         self.listener, self.protocol, self.name, self.tls = listener, protocol, name, tls
-        self.at_once, self.read_most = at_once, read_most
-        self.log, self.counters, self.exhausted = log, counters, exhausted
+        self.accept_batch, self.max_read_bytes = accept_batch, max_read_bytes
+        self.log, self.counters, self.on_exhausted = log, counters, on_exhausted
         self.has_room, self.make_room = has_room, make_room
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
@@ -133,21 +135,21 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._note(error)
+                self._log_failure(error)
                 failed += 1
                 continue
             most, failed = most - 1, 0
-            self._begin(connection)
+            self._start(connection)
 
-    def _waits(self) -> bool:
+    def _connection_waits(self) -> bool:
         """Whether a connection waits in the queue."""
         return is_readable(self.listener.fileno())
 
     def _ready(self) -> None:
         """Connections wait in the queue: takes so many of them, that other work has its turn."""
-        for _ in range(self.at_once):
+        for _ in range(self.accept_batch):
             if not self.has_room():
-                if not self._waits():
+                if not self._connection_waits():
                     return
                 if not self.make_room():
                     self.counters[f"{self.name}.accept_without_room"] += 1
@@ -158,29 +160,29 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                self._failed(error)
+                self._accept_failed(error)
                 if self.failed % ATTEMPTS == 0:
                     self._pause()
                     return
                 continue
             self.failed, self.exhausted_since = 0, None
-            self._begin(connection)
+            self._start(connection)
 
-    def _begin(self, connection: socket.socket) -> None:
+    def _start(self, connection: socket.socket) -> None:
         adopted = ResilientSocket.adopt(connection)
-        adopted.read_most = self.read_most
+        adopted.max_read_bytes = self.max_read_bytes
         task = self.loop.create_task(self._run(adopted))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _note(self, error: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         self.counters[f"{self.name}.accept_failed"] += 1
         name = errno.errorcode.get(error.errno or 0, str(error.errno))
         self.log.rate_limited("accept failed", why=name)
 
-    def _failed(self, error: OSError) -> None:
+    def _accept_failed(self, error: OSError) -> None:
         """accept(2) has failed, perhaps not for the first time in a row."""
-        self._note(error)
+        self._log_failure(error)
         self.failed += 1
         if error.errno == errno.EMFILE:
             self._without_descriptor()
@@ -194,11 +196,11 @@
             self.exhausted_since = now
         elif now - self.exhausted_since >= DESCRIPTOR_WAIT_US / 1e6:
             self.exhausted_since = now
-            self.exhausted()
+            self.on_exhausted()
 
     def _pause(self) -> None:
         self.loop.remove_reader(self.listener.fileno())
-        self.pause = self.loop.call_later(PAUSE_US / 1e6, self._resume)
+        self.pause = self.loop.call_later(RETRY_PAUSE_US / 1e6, self._resume)
 
     def _resume(self) -> None:
         self.pause = None
@@ -210,4 +212,4 @@
             await self.loop.connect_accepted_socket(self.protocol, connection, ssl=self.tls)
         except OSError as error:  # it is gone already, or its TLS handshake failed
             connection.close()
-            self._note(error)
+            self._log_failure(error)
--- a/lapispass/net/call_failures.py
+++ b/lapispass/net/call_failures.py
@@ -5,12 +5,12 @@
 import errno
 
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 LOG_EVERY_US = 1_000_000
 
 _counted = Counters()
-_log = Part("system", LOG_EVERY_US)
+_log = PartLogger("system", LOG_EVERY_US)
 
 
 def note(call: str, error: OSError) -> None:
--- a/lapispass/net/client_connection.py
+++ b/lapispass/net/client_connection.py
@@ -8,7 +8,7 @@
 
 from lapispass.net import tcp_info
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines
+from lapispass.net.lines import LineSplitter
 from lapispass.net.streams import read_arrived, unread
 
 ANSWER = b"PONG\r\n"
@@ -29,7 +29,7 @@
     FAULT = "fault"
 
 
-class Ended(Exception):
+class ConnectionEnded(Exception):
     """The connection ends for this reason; `detail` is for the log alone, it may be a stranger's text."""
 
     def __init__(self, reason: CloseReason, detail: str = "") -> None:
@@ -45,25 +45,25 @@
     ) -> None:
         self.number, self.reader, self.writer, self.limits = number, reader, writer, limits
         self.loop = asyncio.get_running_loop()
-        self.lines = Lines(limits.message_bytes)
+        self.lines = LineSplitter(limits.message_bytes)
         self.zone: str | None = None  # once it has joined
-        self.unreadable = 0  # lines since the last sound one
+        self.unreadable_in_a_row = 0  # lines since the last sound one
         self.pings = 0  # asked
         self.unanswered = 0  # of these
-        self.opened_at = self.heard_at = self.begun_at = self.loop.time()
+        self.opened_at = self.last_data_at = self.message_began_at = self.loop.time()
         self.closing: CloseReason | None = None  # why it is to end as soon as what has come is answered
-        self.expired = False  # its time was over once, and what had come then was read
+        self.deadline_passed = False  # its time was over once, and what had come then was read
         self.rejected = False  # it has been told so, and has a moment to read it
-        self.waiting: asyncio.Timeout | None = None
+        self.read_timeout: asyncio.Timeout | None = None
 
     @property
     def unfinished(self) -> bool:
         """Whether a message comes in pieces."""
-        return bool(self.lines.rest)
+        return bool(self.lines.unfinished)
 
     def silent_us(self) -> int:
         """For how long nothing has come."""
-        return int((self.loop.time() - self.heard_at) * 1e6)
+        return int((self.loop.time() - self.last_data_at) * 1e6)
 
     def deadline(self) -> float | None:
         """When it is closed if nothing comes, in seconds of the loop's clock; None where it may be silent.
@@ -76,7 +76,7 @@
         if self.zone is not None:
             return None
         if self.unfinished:
-            return self.begun_at + self.limits.message_us / 1e6
+            return self.message_began_at + self.limits.message_us / 1e6
         if self.pings:
             return None
         return self.opened_at + self.limits.join_us / 1e6
@@ -98,21 +98,21 @@
             piece = await self._read_last()
         else:
             piece = await self._read_in_time()
-        self.heard_at = self.loop.time()
+        self.last_data_at = self.loop.time()
         return piece
 
     async def _read_in_time(self) -> bytes:
         waiting = asyncio.timeout_at(self.deadline())
         try:
             async with waiting:
-                self.waiting = waiting
-                return await self.reader.read(self.limits.turn_bytes)
+                self.read_timeout = waiting
+                return await self.reader.read(self.limits.quantum_bytes)
         except TimeoutError:
             if not waiting.expired():
                 raise  # the connection's own (ETIMEDOUT)
             return await self._read_last()
         finally:
-            self.waiting = None
+            self.read_timeout = None
 
     async def _read_last(self) -> bytes:
         """What has come although its time is over, once; then it ends.
@@ -120,18 +120,20 @@
         Guards against a request that is read and dropped: it may come between this decision and the close.
         From here on what comes stays in the system's buffer, and what was read already is handled.
         """
-        if not self.expired:
-            self.expired = True
-            piece = await read_arrived(self.reader, self.writer, self.limits.turn_bytes, self.limits.late_us)
+        if not self.deadline_passed:
+            self.deadline_passed = True
+            piece = await read_arrived(
+                self.reader, self.writer, self.limits.quantum_bytes, self.limits.late_us
+            )
             if piece is not None:
                 return piece
         self._pause_reading()
         if unread(self.reader):
             # This does not wait, and lets the transport read on.
-            piece = await self.reader.read(self.limits.turn_bytes)
+            piece = await self.reader.read(self.limits.quantum_bytes)
             self._pause_reading()
             return piece
-        raise Ended(self.reason())
+        raise ConnectionEnded(self.reason())
 
     def _pause_reading(self) -> None:
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -141,26 +143,26 @@
         self.closing = self.closing or reason
         if self.rejected:
             self.writer.transport.abort()
-        if self.waiting is not None:
+        if self.read_timeout is not None:
             with suppress(RuntimeError):  # its time is over already
-                self.waiting.reschedule(self.loop.time())
+                self.read_timeout.reschedule(self.loop.time())
 
-    def asked(self) -> None:
+    def note_ping(self) -> None:
         """A PING: it is to be answered, and the connection may be idle."""
         self.pings += 1
         self.unanswered += 1
-        self.expired = self.closing is not None
+        self.deadline_passed = self.closing is not None
 
-    def answer(self) -> None:
+    def write_answers(self) -> None:
         """Answers what was asked, by one write: one for each costs a system call, and others their time."""
         if self.unanswered:
             self.writer.write(ANSWER * self.unanswered)
             self.unanswered = 0
 
-    def message_begins(self) -> None:
+    def note_message_start(self) -> None:
         """The message that comes now, if any, has begun with the last bytes; the first one has the time from
         connecting on."""
-        self.begun_at = self.heard_at if self.pings else self.opened_at
+        self.message_began_at = self.last_data_at if self.pings else self.opened_at
 
     def since_last_data_us(self) -> int | None:
         """How long ago its last bytes came to this machine; None where the system does not tell."""
@@ -178,7 +180,7 @@
             "peer": self.writer.get_extra_info("peername"),
             "zone": self.zone,
             "age_ms": round((now - self.opened_at) * 1e3),
-            "silent_ms": round((now - self.heard_at) * 1e3),
+            "silent_ms": round((now - self.last_data_at) * 1e3),
             "pings": self.pings,
-            "unfinished": len(self.lines.rest),
+            "unfinished": len(self.lines.unfinished),
         }
--- a/lapispass/net/collectors.py
+++ b/lapispass/net/collectors.py
@@ -14,20 +14,20 @@
 from lapispass import interface
 from lapispass.core.interval_figures import IntervalFigures
 from lapispass.net import tcp_info
-from lapispass.net.acceptor import Acceptor, listener_at, streams
-from lapispass.net.client_connection import ClientConnection, CloseReason, Ended
+from lapispass.net.acceptor import Acceptor, listen_at, stream_protocols
+from lapispass.net.client_connection import ClientConnection, CloseReason, ConnectionEnded
 from lapispass.net.codec import Codec, WireError
 from lapispass.net.counters import Counters
 from lapispass.net.limits import Limits
-from lapispass.net.lines import TooLong
-from lapispass.net.log import Part
+from lapispass.net.lines import LineTooLong
+from lapispass.net.log import PartLogger
 from lapispass.net.streams import flush, unread
 
 # What no line of this wire holds. A spoilt report is still text; behind such bytes no message begins
 # anywhere.
-ODD = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
+FORBIDDEN_BYTES = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 REJECTION = b"NACK why=unreadable\r\n"
-REJECTED = frozenset(
+REJECTED_REASONS = frozenset(
     {
         CloseReason.UNFINISHED,
         CloseReason.UNREADABLE,
@@ -35,7 +35,7 @@
         CloseReason.UNREAD,
     }
 )
-ORDINARY = frozenset({CloseReason.PEER, CloseReason.PROCESS_ENDS})
+EXPECTED_REASONS = frozenset({CloseReason.PEER, CloseReason.PROCESS_ENDS})
 
 
 class Collectors:
@@ -51,54 +51,56 @@
     ) -> None:
         self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
         self.figures = figures or IntervalFigures(limits.late_us)
-        self.log = Part("collectors", limits.log_every_us)
-        self.open: dict[ClientConnection, None] = {}  # in the order of last use
+        self.log = PartLogger("collectors", limits.log_every_us)
+        self.connections: dict[ClientConnection, None] = {}  # in the order of last use
         self.tasks: set[asyncio.Task[None]] = set()
-        self.server: Acceptor | None = None
-        self.full_since: float | None = None  # since when one waits that cannot be accepted for lack of room
+        self.acceptor: Acceptor | None = None
+        self.room_wait_since: float | None = (
+            None  # since when one waits that cannot be accepted for lack of room
+        )
         self.overdue = 0  # of those that wait for room, how many have waited for long enough
         self.closed = False
 
     async def listen(self, address: str) -> None:
         """Accepts as many connections as there is room for; the others wait in the system's queue."""
-        self.server = Acceptor(
-            listener_at(address, self.limits.backlog),
-            streams(self.serve, self.limits.turn_bytes),
+        self.acceptor = Acceptor(
+            listen_at(address, self.limits.backlog),
+            stream_protocols(self.serve, self.limits.quantum_bytes),
             name="collectors",
-            at_once=self.limits.at_once,
+            accept_batch=self.limits.accept_batch,
             log=self.log,
             counters=self.counters,
             has_room=self.has_room,
             make_room=self.make_room,
-            exhausted=self.end_longest_silent,
-            read_most=self.limits.turn_bytes,
+            on_exhausted=self.evict_longest_silent,
+            max_read_bytes=self.limits.quantum_bytes,
         )
 
     def stop_listening(self) -> None:
         """Accepts what waits in the queue, then no more."""
-        if self.server:
-            self.server.close(self.limits.connections)
+        if self.acceptor:
+            self.acceptor.close(self.limits.connections)
 
     async def drain(self) -> None:
         """Serves on while clients ask, for `Limits.drain_us` at most: they may not know yet that the process
         ends."""
-        loop, quiet_s = asyncio.get_running_loop(), self.limits.drained_us / 1e6
+        loop, quiet_s = asyncio.get_running_loop(), self.limits.drain_idle_us / 1e6
         until = loop.time() + self.limits.drain_us / 1e6
         while self.is_asked() and loop.time() < until:
             await asyncio.sleep(quiet_s / 2)
 
     def is_asked(self) -> bool:
         """Whether a client has come, or said something, a moment ago."""
-        if self.server and self.server.tasks:
+        if self.acceptor and self.acceptor.tasks:
             return True
-        clients = (connection for connection in self.open if connection.zone is None)
-        return any(connection.silent_us() < self.limits.drained_us for connection in clients)
+        clients = (connection for connection in self.connections if connection.zone is None)
+        return any(connection.silent_us() < self.limits.drain_idle_us for connection in clients)
 
     def close(self) -> None:
         """Listens no more; connections end as soon as what has come on them is answered."""
         self.closed = True
         self.stop_listening()
-        for connection in self.open:
+        for connection in self.connections:
             connection.end_soon(CloseReason.PROCESS_ENDS)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -109,50 +111,50 @@
         writer.transport.set_write_buffer_limits(high=self.limits.unsent_bytes)  # from which on `drain` waits
         if self.closed:  # accepted just before the end
             connection.end_soon(CloseReason.PROCESS_ENDS)
-        self.open[connection] = None
-        end = Ended(CloseReason.FAULT)
+        self.connections[connection] = None
+        end = ConnectionEnded(CloseReason.FAULT)
         try:
-            end = await self.converse(connection)
+            end = await self.read_until_end(connection)
         except asyncio.CancelledError:  # asyncio would log a trace of a task that was cancelled
-            end = Ended(CloseReason.PROCESS_ENDS)
+            end = ConnectionEnded(CloseReason.PROCESS_ENDS)
         finally:
             try:
                 await self.finish(connection, end)
             finally:
-                self.open.pop(connection, None)
+                self.connections.pop(connection, None)
                 self.tasks.discard(task)  # type: ignore[arg-type]
                 self.counters["collectors.closed"] += 1
                 writer.transport.abort()
 
-    async def converse(self, connection: ClientConnection) -> Ended:
+    async def read_until_end(self, connection: ClientConnection) -> ConnectionEnded:
         """Takes what comes until the connection ends; why it does."""
         try:
             while piece := await connection.read():
-                self.used(connection)
+                self.mark_used(connection)
                 answered = connection.pings
-                self.take_piece(piece, connection)
+                self.handle_bytes(piece, connection)
                 if connection.pings > answered:
                     self.note_answer(connection)
-                await self.let_it_read(connection)
+                await self.wait_until_read(connection)
                 if unread(connection.reader):  # else the next read waits
                     await asyncio.sleep(0)
-        except Ended as end:
+        except ConnectionEnded as end:
             return end
-        except TooLong:
-            return Ended(CloseReason.TOO_LONG)
+        except LineTooLong:
+            return ConnectionEnded(CloseReason.TOO_LONG)
         except OSError as error:
             self.counters["collectors.broken"] += 1
-            return Ended(CloseReason.BROKEN, f"{type(error).__name__} {error}")
+            return ConnectionEnded(CloseReason.BROKEN, f"{type(error).__name__} {error}")
         except Exception:  # a fault of our own costs this connection, not the controller
             self.counters["collectors.faults"] += 1
             self.log.failed("connection failed", **connection.fields())
-            return Ended(CloseReason.FAULT)
-        return Ended(CloseReason.PEER)
+            return ConnectionEnded(CloseReason.FAULT)
+        return ConnectionEnded(CloseReason.PEER)
 
-    async def finish(self, connection: ClientConnection, end: Ended) -> None:
+    async def finish(self, connection: ClientConnection, end: ConnectionEnded) -> None:
         """Sends what is still unsent. Whoever is rejected hears so, and has a moment to read it."""
-        told = end.reason in REJECTED and connection.zone is None  # a collector is never written to
-        if end.reason in REJECTED or end.reason is CloseReason.SILENT:
+        told = end.reason in REJECTED_REASONS and connection.zone is None  # a collector is never written to
+        if end.reason in REJECTED_REASONS or end.reason is CloseReason.SILENT:
             self.counters["collectors.turned_away"] += 1
         if told:
             connection.writer.write(REJECTION)
@@ -161,7 +163,7 @@
         self.counters[f"collectors.ended.{end.reason.name.lower()}"] += 1
         self.log.rate_limited(
             "connection ended",
-            level=logging.INFO if end.reason in ORDINARY and not unsent else logging.WARNING,
+            level=logging.INFO if end.reason in EXPECTED_REASONS and not unsent else logging.WARNING,
             kind=end.reason.name,
             why=f"{end.reason}: {end.detail}" if end.detail else end.reason,
             unsent=unsent,
@@ -182,20 +184,20 @@
         except OSError:
             pass
 
-    def take_piece(self, piece: bytes, connection: ClientConnection) -> None:
+    def handle_bytes(self, piece: bytes, connection: ClientConnection) -> None:
         """Handles the lines that a piece ends."""
         begins = not connection.unfinished
-        odd = ODD.search(piece)
+        odd = FORBIDDEN_BYTES.search(piece)
         try:
-            for line in connection.lines.cut(memoryview(piece)[: odd.start()] if odd else piece):
+            for line in connection.lines.split(memoryview(piece)[: odd.start()] if odd else piece):
                 begins = True
-                self.take(line, connection)
+                self.handle_line(line, connection)
         finally:
-            connection.answer()
+            connection.write_answers()
         if begins:
-            connection.message_begins()
+            connection.note_message_start()
         if odd:
-            raise Ended(CloseReason.UNREADABLE, f"byte {odd[0][0]}, which no message holds")
+            raise ConnectionEnded(CloseReason.UNREADABLE, f"byte {odd[0][0]}, which no message holds")
 
     def note_answer(self, connection: ClientConnection) -> None:
         """Measures how long ago the bytes came that were just answered, in the system's queues too."""
@@ -208,13 +210,13 @@
 
     def unsent_bytes(self) -> int:
         """Answers that wait in this process, on all connections."""
-        return sum(connection.unsent() for connection in self.open)
+        return sum(connection.unsent() for connection in self.connections)
 
     def waiting_to_be_accepted(self) -> int | None:
         """Connections in the listening socket's queue; None where that is not known."""
-        return tcp_info.waiting_to_be_accepted(self.server.listener) if self.server else None
+        return tcp_info.waiting_to_be_accepted(self.acceptor.listener) if self.acceptor else None
 
-    async def let_it_read(self, connection: ClientConnection) -> None:
+    async def wait_until_read(self, connection: ClientConnection) -> None:
         """Reads no further while answers wait to be read; whoever leaves them for too long is cut off."""
         transport = connection.writer.transport
         if transport.get_write_buffer_size() <= self.limits.unsent_bytes:
@@ -226,13 +228,13 @@
             if not waiting.expired():
                 raise  # the connection's own (ETIMEDOUT)
         if transport.get_write_buffer_size() > self.limits.unsent_bytes:
-            raise Ended(CloseReason.UNREAD)
+            raise ConnectionEnded(CloseReason.UNREAD)
 
-    def take(self, line: memoryview, connection: ClientConnection) -> None:
+    def handle_line(self, line: memoryview, connection: ClientConnection) -> None:
         """Handles one line: a spoilt report costs itself alone; a stream with nothing sound left is ended."""
         if line == b"PING":
             self.counters["collectors.pings"] += 1
-            connection.asked()
+            connection.note_ping()
             return
         if not line:
             return
@@ -241,96 +243,96 @@
         except WireError as error:
             self.counters["collectors.unreadable"] += 1
             self.log.rate_limited("line unreadable", why=error, **connection.fields())
-            connection.unreadable += 1
-            if connection.zone is None or connection.unreadable > self.limits.unreadable:
-                raise Ended(CloseReason.UNREADABLE, str(error)) from None
+            connection.unreadable_in_a_row += 1
+            if connection.zone is None or connection.unreadable_in_a_row > self.limits.unreadable_lines:
+                raise ConnectionEnded(CloseReason.UNREADABLE, str(error)) from None
             return
-        connection.unreadable = 0
+        connection.unreadable_in_a_row = 0
         self.counters[f"collectors.{kind}"] += 1
         if isinstance(told, str):
             connection.zone = told
         else:
             self.tell(told)
 
-    def used(self, connection: ClientConnection) -> None:
+    def mark_used(self, connection: ClientConnection) -> None:
         """Last in the order of use; one that is being ended does not come back."""
-        if connection in self.open and connection.closing is None:
-            self.open[connection] = self.open.pop(connection)
+        if connection in self.connections and connection.closing is None:
+            self.connections[connection] = self.connections.pop(connection)
 
     def has_room(self) -> bool:
         """Whether a further connection can be accepted as it is."""
-        if self.standing() >= self.limits.connections:
+        if self.held_descriptors() >= self.limits.connections:
             return False
-        if self.full_since is not None and not self.waiting_to_be_accepted():
-            self.nobody_waits()
+        if self.room_wait_since is not None and not self.waiting_to_be_accepted():
+            self.end_room_wait()
         return True
 
-    def standing(self) -> int:
+    def held_descriptors(self) -> int:
         """Connections that hold a descriptor, those that are being set up or ended among them."""
-        return len(self.tasks) + (len(self.server.tasks) if self.server else 0)
+        return len(self.tasks) + (len(self.acceptor.tasks) if self.acceptor else 0)
 
     def make_room(self) -> bool:
         """Ends a client for the one that waits to be accepted; False where none can go just now.
 
         Guards against clients that connect and stay, with half a message too. Guards those that have just
         come or whose message comes in pieces: where all are such, those in the queue wait, for
-        `Limits.room_us` at most, all of them at the same time.
+        `Limits.room_wait_us` at most, all of them at the same time.
         """
-        if self.standing() >= self.limits.connections + self.limits.at_once:
+        if self.held_descriptors() >= self.limits.connections + self.limits.accept_batch:
             return False  # those that are being ended still hold their descriptors
         now = asyncio.get_running_loop().time()
         self.note_overdue(now)
-        if (leaving := self.who_may_leave()) is not None:
-            self.crowd_out(leaving)
-        elif not self.overdue or not self.end_longest_silent():
+        if (leaving := self.evictable()) is not None:
+            self.evict(leaving)
+        elif not self.overdue or not self.evict_longest_silent():
             return False
         self.overdue = max(0, self.overdue - 1)
         if (self.waiting_to_be_accepted() or 0) <= 1:  # the one for whom there is room now
-            self.nobody_waits()
+            self.end_room_wait()
         return True
 
     def note_overdue(self, now: float) -> None:
-        """All that stand in the queue `Limits.room_us` after the first one came are let in."""
-        if self.full_since is None:
-            self.full_since = now
-        elif now - self.full_since >= self.limits.room_us / 1e6:
+        """All that stand in the queue `Limits.room_wait_us` after the first one came are let in."""
+        if self.room_wait_since is None:
+            self.room_wait_since = now
+        elif now - self.room_wait_since >= self.limits.room_wait_us / 1e6:
             self.overdue = self.waiting_to_be_accepted() or 1
-            self.full_since = now
+            self.room_wait_since = now
 
-    def nobody_waits(self) -> None:
+    def end_room_wait(self) -> None:
         """The next one that finds no room begins a wait of its own."""
-        self.full_since, self.overdue = None, 0
+        self.room_wait_since, self.overdue = None, 0
 
-    def who_may_leave(self) -> ClientConnection | None:
+    def evictable(self) -> ClientConnection | None:
         """An idle client, or one whose message has been left unfinished; the longest silent first."""
         idle = next((connection for connection in self.candidates() if self.is_idle(connection)), None)
         if idle is not None:
             return idle
         silent = next(self.candidates(), None)
-        return silent if silent is not None and silent.silent_us() >= self.limits.room_us else None
+        return silent if silent is not None and silent.silent_us() >= self.limits.room_wait_us else None
 
     def candidates(self) -> Iterator[ClientConnection]:
         """Clients that may be ended, the longest silent first."""
-        return (one for one in self.open if one.zone is None and one.closing is None)
+        return (one for one in self.connections if one.zone is None and one.closing is None)
 
     def is_idle(self, connection: ClientConnection) -> bool:
         """Whether nothing is under way on it."""
-        return not connection.unfinished and connection.silent_us() >= self.limits.fresh_us
+        return not connection.unfinished and connection.silent_us() >= self.limits.eviction_grace_us
 
-    def end_longest_silent(self) -> bool:
+    def evict_longest_silent(self) -> bool:
         """Ends the client that was silent for longest, whatever it is about; a collector, where there is no
         other. False where all are being ended already."""
         quiet = next(self.candidates(), None)
         if quiet is None:
-            quiet = next((connection for connection in self.open if connection.closing is None), None)
+            quiet = next((connection for connection in self.connections if connection.closing is None), None)
         if quiet is None:
             return False
-        self.crowd_out(quiet)
+        self.evict(quiet)
         return True
 
-    def crowd_out(self, connection: ClientConnection) -> None:
+    def evict(self, connection: ClientConnection) -> None:
         """Ends a client whose place is needed. What it has asked is answered first."""
         self.counters["collectors.crowded_out"] += 1
         self.log.rate_limited("connection crowded out", most=self.limits.connections, **connection.fields())
-        del self.open[connection]
+        del self.connections[connection]
         connection.end_soon(CloseReason.CROWDED_OUT)
--- a/lapispass/net/http.py
+++ b/lapispass/net/http.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client: h11 on asyncio streams. One `Link` is one connection."""
+"""An HTTP/1.1 client: h11 on asyncio streams. One `HttpConnection` is one connection."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from lapispass.net.streams import Reader
 
 
-class Overfull(EOFError):
+class InboxFull(EOFError):
     """More was told than is taken in: the connection ends, and the next begins with all that stands."""
 
 
 # What a peer, the network or its silence can do to a connection; TimeoutError is an OSError too.
-BROKEN = (OSError, h11.RemoteProtocolError, asyncio.IncompleteReadError, EOFError)
+CONNECTION_ERRORS = (OSError, h11.RemoteProtocolError, asyncio.IncompleteReadError, EOFError)
 
 
 T = TypeVar("T")
@@ -63,17 +63,17 @@
     """Waits before a party is tried again: doubling, with jitter, never in step with others."""
 
     def __init__(self, limits: Limits) -> None:
-        self.limits, self.next_us = limits, limits.again_least_us
+        self.limits, self.next_us = limits, limits.retry_min_us
 
     async def wait(self) -> None:
         await asyncio.sleep(self.next_us * random.uniform(0.5, 1.0) / 1e6)
-        self.next_us = min(2 * self.next_us, self.limits.again_most_us)
+        self.next_us = min(2 * self.next_us, self.limits.retry_max_us)
 
     def reset(self) -> None:
-        self.next_us = self.limits.again_least_us
+        self.next_us = self.limits.retry_min_us
 
 
-class Quiet:
+class IdleTimeout:
     """Ends what a task waits for inside it with a TimeoutError once the peer has been quiet for too long.
 
     One timer serves a whole stream: `hear` only notes until when to wait, since a stream brings thousands of
@@ -82,10 +82,10 @@
     """
 
     def __init__(self, late_us: int) -> None:
-        self.late, self.loop, self.ends = late_us / 1e6, asyncio.get_running_loop(), asyncio.timeout(None)
+        self.late, self.loop, self.timeout = late_us / 1e6, asyncio.get_running_loop(), asyncio.timeout(None)
         self.until, self.timer = 0.0, None
 
-    def hear(self, wait_us: int) -> None:
+    def extend(self, wait_us: int) -> None:
         """The peer has said something; it may be quiet for so long from now on."""
         self.until = self.loop.time() + wait_us / 1e6
         if self.timer is None or self.timer.when() > self.until:
@@ -104,20 +104,20 @@
             self.until = now + self.late
             self._set(self.until)
         else:
-            self.ends.reschedule(now)
+            self.timeout.reschedule(now)
 
-    async def __aenter__(self) -> Quiet:
-        await self.ends.__aenter__()
+    async def __aenter__(self) -> IdleTimeout:
+        await self.timeout.__aenter__()
         return self
 
     async def __aexit__(self, *raised: Any) -> bool | None:
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        return await self.ends.__aexit__(*raised)
+        return await self.timeout.__aexit__(*raised)
 
 
-def never_began(transport: asyncio.BaseTransport) -> bool:
+def connect_never_began(transport: asyncio.BaseTransport) -> bool:
     """Whether connect gave EAGAIN or EINTR without a beginning: asyncio takes both for a connection that is
     being made. One that was made and reset meanwhile has no peer any more either, but a port of its own.
     """
@@ -125,7 +125,7 @@
     return transport.get_extra_info("peername") is None and (not sockname or sockname[1] == 0)
 
 
-def split(address: str) -> tuple[str, int]:
+def split_address(address: str) -> tuple[str, int]:
     """`host:port`; a ValueError where it is none."""
     host, _, port = str(address).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
@@ -133,16 +133,16 @@
     return host.strip("[]"), int(port)
 
 
-class Link:
+class HttpConnection:
     """A connection to one party; calls go one after the other."""
 
     def __init__(self, reader: Reader, writer: asyncio.StreamWriter, address: str, limits: Limits) -> None:
         self.reader, self.writer, self.address, self.limits = reader, writer, address, limits
         self.state = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.answer_bytes)
-        self.since: int | None = None  # the version that a watch was asked from, until its first line
+        self.watch_from: int | None = None  # the version that a watch was asked from, until its first line
 
     @classmethod
-    async def open(cls, address: str, limits: Limits, wait_us: int | None = None) -> Link:
+    async def open(cls, address: str, limits: Limits, wait_us: int | None = None) -> HttpConnection:
         """A connection to `address`, within `wait_us` (`Limits.connect_us`).
 
         Attempts that fail for a moment are made again within that time. Raises TimeoutError where the peer
@@ -157,14 +157,14 @@
             raise
 
     @classmethod
-    async def _dial(cls, address: str, limits: Limits) -> Link:
+    async def _dial(cls, address: str, limits: Limits) -> HttpConnection:
         """One attempt."""
         loop = asyncio.get_running_loop()
         reader = Reader(limit=limits.read_bytes, loop=loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
-        transport = await open_transport(lambda: protocol, *split(address))
+        transport = await open_transport(lambda: protocol, *split_address(address))
         link = cls(reader, asyncio.StreamWriter(transport, protocol, reader, loop), address, limits)
-        if never_began(transport):
+        if connect_never_began(transport):
             link.close()
             raise BlockingIOError(errno.EAGAIN, f"connect to {address} did not begin")
         return link
@@ -175,7 +175,7 @@
         return not (self.reader.at_eof() or self.writer.is_closing() or self.reader.exception())
 
     @property
-    def unasked(self) -> bool:
+    def has_unrequested_data(self) -> bool:
         """Whether something came that no call of ours asked for."""
         return self.reader.unread > 0
 
@@ -209,7 +209,7 @@
             if isinstance(event, h11.Response):
                 return event.status_code
 
-    async def piece(self) -> bytes | bytearray:
+    async def read_chunk(self) -> bytes | bytearray:
         """The next of the body as it comes, in the buffer it was read into; none at its end."""
         event = await self._next()
         return event.data if isinstance(event, h11.Data) else b""
@@ -217,14 +217,14 @@
     async def body(self, most: int, came: Callable[[], None] = lambda: None) -> bytes:
         """The whole body; one that is longer counts as broken. `came` is told of each piece."""
         whole = bytearray()
-        while piece := await self.piece():
+        while piece := await self.read_chunk():
             came()
             whole += piece
             if len(whole) > most:
                 raise EOFError(f"more than {most} bytes")
         return bytes(whole)
 
-    def next_call(self) -> bool:
+    def start_next_call(self) -> bool:
         """Makes ready for a further call, if both sides keep the connection."""
         both = self.state.our_state is h11.DONE and self.state.their_state is h11.DONE
         if both and not self.state.trailing_data[0]:  # what came unasked would pass for the next answer
@@ -243,23 +243,23 @@
     def __init__(self, address: str, limits: Limits) -> None:
         self.address, self.limits, self.loop = address, limits, asyncio.get_running_loop()
         self.error: OSError | None = None
-        self.begun_at: float | None = None  # the attempt that is under way
+        self.attempt_began_at: float | None = None  # the attempt that is under way
 
     def waits_for_peer(self) -> bool:
         """Whether an attempt is under way for so long that the peer's silence is the reason."""
-        least_s = self.limits.again_most_us / 1e6
-        return self.begun_at is not None and self.loop.time() - self.begun_at > least_s
+        least_s = self.limits.retry_max_us / 1e6
+        return self.attempt_began_at is not None and self.loop.time() - self.attempt_began_at > least_s
 
-    async def run(self) -> Link:
+    async def run(self) -> HttpConnection:
         """Tries until the connection stands, or the peer is not to be had."""
         while True:
-            self.begun_at = self.loop.time()
+            self.attempt_began_at = self.loop.time()
             try:
-                return await Link._dial(self.address, self.limits)
+                return await HttpConnection._dial(self.address, self.limits)
             except OSError as error:
                 if error.errno not in momentary.LOCAL | momentary.ROUTE:
                     raise
-                self.error, self.begun_at = error, None
+                self.error, self.attempt_began_at = error, None
             await asyncio.sleep(LOCAL_PAUSE_S)
 
 
@@ -274,13 +274,13 @@
     def __init__(self, limits: Limits) -> None:
         self.limits, self.wait_us = limits, limits.connect_us
 
-    async def open(self, address: str) -> Link:
+    async def open(self, address: str) -> HttpConnection:
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            link = await Link.open(address, self.limits, self.wait_us)
+            link = await HttpConnection.open(address, self.limits, self.wait_us)
         except TimeoutError:
-            least_us, most_us = self.limits.connect_us, self.limits.connect_most_us
+            least_us, most_us = self.limits.connect_us, self.limits.connect_max_us
             self.wait_us = least_us if self.wait_us >= most_us else min(2 * self.wait_us, most_us)
             raise
         if loop.time() - began < self.limits.connect_us / 1e6:
@@ -288,7 +288,7 @@
         return link
 
 
-class Place:
+class Endpoint:
     """Where a party is reached.
 
     After a move, the new place is tried until it stands; the old one serves meanwhile.
@@ -301,56 +301,61 @@
         self,
         address: str,
         limits: Limits,
-        opened: Callable[[str], Awaitable[Link]],
+        dial: Callable[[str], Awaitable[HttpConnection]],
         switch: Callable[[], None],
     ) -> None:
-        self.address, self.limits, self.opened, self.switch = address, limits, opened, switch
-        self.ready: Link | None = None  # stands already, and is taken with the next `link`
-        self.used = ""  # the place of the link that was taken last
-        self.moved = asyncio.Event()
-
-    async def link(self) -> Link:
+        self.address, self.limits, self.dial, self.switch = (
+            address,
+            limits,
+            dial,
+            switch,
+        )
+        self.standby: HttpConnection | None = None  # stands already, and is taken with the next `connection`
+        self.connected_address = ""  # the place of the connection that was taken last
+        self.address_changed = asyncio.Event()
+
+    async def connect(self) -> HttpConnection:
         """A new connection: the one that stands already, if it still does."""
-        link, self.ready = self.ready, None
-        if link and not (link.usable and link.address == self.address):
-            link.close()
-            link = None
-        link = link or await self.opened(self.address)
-        self.used = link.address
-        return link
+        connection, self.standby = self.standby, None
+        if connection and not (connection.usable and connection.address == self.address):
+            connection.close()
+            connection = None
+        connection = connection or await self.dial(self.address)
+        self.connected_address = connection.address
+        return connection
 
     async def renew(self) -> None:
         """A further connection; once it stands, `switch` has the stream begin anew over it."""
-        link = await self.opened(self.address)
-        if link.address != self.address:  # it has moved meanwhile
-            link.close()
+        connection = await self.dial(self.address)
+        if connection.address != self.address:  # it has moved meanwhile
+            connection.close()
             return
         self.close()
-        self.ready = link
+        self.standby = connection
         self.switch()
 
     def move(self, address: str) -> None:
         self.address = address
-        self.moved.set()
+        self.address_changed.set()
 
-    async def moves(self) -> None:
+    async def follow_moves(self) -> None:
         """Tries each new place until it stands, or until it is another."""
-        while await self.moved.wait():
-            self.moved.clear()
+        while await self.address_changed.wait():
+            self.address_changed.clear()
             again = Backoff(self.limits)
-            while self.address not in (self.used, self.ready and self.ready.address):
+            while self.address not in (self.connected_address, self.standby and self.standby.address):
                 try:
                     await self.renew()
                 except Exception:  # whatever it was, a further attempt follows: nobody else would make one
                     await again.wait()
 
     def close(self) -> None:
-        if self.ready:
-            self.ready.close()
-        self.ready = None
+        if self.standby:
+            self.standby.close()
+        self.standby = None
 
 
-async def ended(*tasks: asyncio.Task[Any] | None) -> None:
+async def cancel_and_wait(*tasks: asyncio.Task[Any] | None) -> None:
     """Ends tasks and waits until they have; what they raised is heard."""
     standing = [task for task in tasks if task is not None]
     for task in standing:
--- a/lapispass/net/interval_report.py
+++ b/lapispass/net/interval_report.py
@@ -9,7 +9,7 @@
 from lapispass.core.interval_figures import IntervalFigures
 from lapispass.net.clock import Clock
 from lapispass.net.collectors import Collectors
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 
 class IntervalReport:
@@ -20,7 +20,7 @@
         figures: IntervalFigures,
         clock: Clock,
         every_us: int,
-        log: Part,
+        log: PartLogger,
         collectors: Collectors,
         progress: Callable[[], Progress],
     ) -> None:
@@ -39,7 +39,7 @@
     def write(self) -> None:
         """One line; figures that are zero are left out."""
         waiting = {
-            "connections": len(self.collectors.open),
+            "connections": len(self.collectors.connections),
             "accept_queue": self.collectors.waiting_to_be_accepted(),
             "unsent_bytes": self.collectors.unsent_bytes(),
         }
--- a/lapispass/net/launch.py
+++ b/lapispass/net/launch.py
@@ -11,7 +11,7 @@
 from lapispass.core import momentary
 from lapispass.interface import Deployment
 from lapispass.net.codec import Codec, Listing, WireError
-from lapispass.net.http import split
+from lapispass.net.http import split_address
 from lapispass.net.limits import Limits
 from lapispass.retry import RetryWindow, retry
 
@@ -49,7 +49,7 @@
     async def read_with_retries(cls, environment: Mapping[str, str]) -> Launch:
         """As `read`, which is tried again for `Limits.bind_us` while the file cannot be read."""
         limits = Limits()
-        window = RetryWindow(limits.bind_us / 1e6, limits.again_least_us / 1e6)
+        window = RetryWindow(limits.bind_us / 1e6, limits.retry_min_us / 1e6)
         return await retry(lambda: cls.read(environment), may_pass, window)
 
     @classmethod
@@ -86,7 +86,7 @@
             told = replace(deployment.read(given["settings"]), asks_for_list=True)
             part = "limits"
             sockets = deployment.Part(given).part("limits").whole("sockets", 1024)
-            limits = Limits.within(sockets, told.proxies, told.slices)
+            limits = Limits.for_sockets(sockets, told.proxies, told.slices)
             part = "known"
             listed = deployment.Part(given).part("known").told
             known = Codec(told, limits.id_bytes).listed(
@@ -96,11 +96,11 @@
             seed = int(str(given["seed"]), 16)
             part = "store.address"
             relay = deployment.Part(given).part("store").word("address", None)
-            split(relay)
+            split_address(relay)
             part = "listen"
-            split(listen := one("LB_LISTEN", "listen"))
+            split_address(listen := one("LB_LISTEN", "listen"))
             part = "discovery"
-            split(registry := given.get("discovery") or one("LB_DISCOVERY", "discovery"))
+            split_address(registry := given.get("discovery") or one("LB_DISCOVERY", "discovery"))
         except (KeyError, ValueError, TypeError, AttributeError, OverflowError, WireError) as error:
             raise BadStart(f"LB_CONFIG {where!r}: {part}: {type(error).__name__} {error}") from None
         return cls(one("LB_NAME", "name"), listen, registry, relay, seed, known, told, limits)
--- a/lapispass/net/log.py
+++ b/lapispass/net/log.py
@@ -9,20 +9,20 @@
 import select
 import time
 
-PLAIN = re.compile(r"[\w.:/+@%,;<>()-]+\Z")
-LINE_MOST = 4000  # below what a pipe takes at once
+UNQUOTED = re.compile(r"[\w.:/+@%,;<>()-]+\Z")
+MAX_LINE_BYTES = 4000  # below what a pipe takes at once
 
 
-def word(value: object) -> str:
+def format_value(value: object) -> str:
     """A value as it stands, or quoted where it would not read as one word."""
     text = format(value, ".6g") if isinstance(value, float) else str(value)
-    return text if PLAIN.match(text) else json.dumps(text)
+    return text if UNQUOTED.match(text) else json.dumps(text)
 
 
 STARTED_NS = time.monotonic_ns()
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """`time= level= part= event=`, the fields of the record, and `up=`: seconds since the process began, by a
     clock that nobody steps.
     """
@@ -39,10 +39,10 @@
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
         fields["up"] = f"{(time.monotonic_ns() - STARTED_NS) / 1e9:.3f}"
-        return " ".join(f"{key}={word(value)}" for key, value in fields.items())
+        return " ".join(f"{key}={format_value(value)}" for key, value in fields.items())
 
 
-class Steady(logging.Handler):
+class NonBlockingHandler(logging.Handler):
     """Writes a line only if that can be done at once: a stopped log reader must not stop the controller.
 
     What is left of a line after a short write goes before the next one; at most one line waits.
@@ -55,14 +55,14 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.write_on()
+        self.flush_pending()
         if self.unwritten:
             self.lost += 1
             return
-        self.unwritten = self.format(record).encode(errors="replace")[:LINE_MOST] + b"\n"
-        self.write_on()
+        self.unwritten = self.format(record).encode(errors="replace")[:MAX_LINE_BYTES] + b"\n"
+        self.flush_pending()
 
-    def write_on(self) -> None:
+    def flush_pending(self) -> None:
         """What is left of the last line, as far as it is taken."""
         try:
             while self.unwritten and self.poll.poll(0):
@@ -72,28 +72,30 @@
             pass  # the next line tries again
 
 
-def start(descriptor: int = 2, level: int = logging.INFO) -> Steady:
+def start(descriptor: int = 2, level: int = logging.INFO) -> NonBlockingHandler:
     """Sends the log of the process to a descriptor."""
-    handler = Steady(descriptor)
-    handler.setFormatter(KeyValue())
+    handler = NonBlockingHandler(descriptor)
+    handler.setFormatter(KeyValueFormatter())
     logging.getLogger().handlers[:] = [handler]  # asyncio's complaints go the same way
     logging.getLogger("lapispass").setLevel(level)
     return handler
 
 
-def write_on() -> None:
+def flush_pending() -> None:
     """Writes lines that had to wait, as far as they are taken now; otherwise they wait for the next one."""
     for handler in logging.getLogger().handlers:
-        if isinstance(handler, Steady):
-            handler.write_on()
+        if isinstance(handler, NonBlockingHandler):
+            handler.flush_pending()
 
 
 def lost() -> int:
     """Lines dropped because nobody read them."""
-    return sum(handler.lost for handler in logging.getLogger().handlers if isinstance(handler, Steady))
+    return sum(
+        handler.lost for handler in logging.getLogger().handlers if isinstance(handler, NonBlockingHandler)
+    )
 
 
-class Part:
+class PartLogger:
     """The log of one part; `rate_limited` bounds the lines that a peer can cause."""
 
     def __init__(self, name: str, every_us: int = 0) -> None:
--- a/lapispass/net/loop_lag.py
+++ b/lapispass/net/loop_lag.py
@@ -6,26 +6,26 @@
 
 from lapispass.net import log
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
-LOOK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
 class LoopLag:
     """Logs each time the loop was late, whatever it was doing, and has the log write what waits; nothing is
     decided by it."""
 
-    def __init__(self, late_us: int, log: Part, counters: Counters) -> None:
+    def __init__(self, late_us: int, log: PartLogger, counters: Counters) -> None:
         self.late_us, self.log, self.counters = late_us, log, counters
 
     async def run(self) -> None:
         """Until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LOOK_S
-            await asyncio.sleep(LOOK_S)
+            due = loop.time() + CHECK_INTERVAL_S
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.note(int((loop.time() - due) * 1e6))
-            log.write_on()
+            log.flush_pending()
 
     def note(self, late_us: int) -> None:
         """The loop came back so late."""
--- a/lapispass/net/probes.py
+++ b/lapispass/net/probes.py
@@ -10,9 +10,9 @@
 from lapispass.core import momentary
 from lapispass.net.codec import Codec, WireError
 from lapispass.net.counters import Counters
-from lapispass.net.http import BROKEN, Link, within
+from lapispass.net.http import CONNECTION_ERRORS, HttpConnection, within
 from lapispass.net.limits import Limits
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 ANSWERED, ERROR, TURNED_AWAY, LATE, UNREACHABLE, BROKE = range(6)
 
@@ -29,7 +29,7 @@
         self, tell: Callable[[interface.Event], None], codec: Codec, limits: Limits, counters: Counters
     ) -> None:
         self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
-        self.log = Part("probes", limits.log_every_us)
+        self.log = PartLogger("probes", limits.log_every_us)
         self.under_way: dict[interface.BackendId, asyncio.Task[None]] = {}
         self.line: dict[interface.BackendId, str] = {}  # those that wait, with their addresses
 
@@ -73,7 +73,7 @@
         began, load, link, made = time.monotonic_ns(), None, None, True
         reason = UNREACHABLE  # until the connection stands
         try:
-            link = await Link.open(address, self.limits)
+            link = await HttpConnection.open(address, self.limits)
             reason = BROKE
             status, body = await within(self.limits.probe_us, self.ask(link), self.limits.late_us)
             reason = {200: ANSWERED, 503: TURNED_AWAY}.get(status, ERROR)
@@ -83,7 +83,7 @@
             self.counters["probes.unreadable"] += 1
         except TimeoutError:
             reason = LATE  # also where the dial took too long: nothing was refused
-        except (*BROKEN, ValueError) as error:  # ValueError: the list gave no address
+        except (*CONNECTION_ERRORS, ValueError) as error:  # ValueError: the list gave no address
             if link is None and isinstance(error, OSError):
                 made = error.errno not in momentary.LOCAL
                 reason = LATE if error.errno in momentary.ROUTE else UNREACHABLE
@@ -102,6 +102,6 @@
         took_us = (time.monotonic_ns() - began) // 1000
         self.tell(interface.Probed(backend, reason, took_us, load))
 
-    async def ask(self, link: Link) -> tuple[int, bytes]:
+    async def ask(self, link: HttpConnection) -> tuple[int, bytes]:
         await link.send("GET", "/stats" if self.codec.told.load_fields else "/health/live")
         return await link.answer(), await link.body(self.limits.answer_bytes)
--- a/lapispass/net/process.py
+++ b/lapispass/net/process.py
@@ -11,11 +11,11 @@
 
 from lapispass.net import log, signals
 from lapispass.net.event_loop import new_event_loop
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.retry import START
 
 
-def on_signals(
+def install_signal_handlers(
     stop: Callable[[], None], print_counters: Callable[[], None], read_again: Callable[[], bool]
 ) -> None:
     """SIGTERM and SIGINT end it, SIGUSR1 prints counters, SIGHUP has it read its file again.
@@ -34,7 +34,7 @@
     loop.add_signal_handler(signal.SIGHUP, reread)
 
 
-def to_the_end(life: Coroutine[Any, Any, None]) -> None:
+def run_to_completion(life: Coroutine[Any, Any, None]) -> None:
     """A process's life on a loop of its own. Signals are held from its end until the loop is gone.
 
     Guards its last moments: handlers go with the loop, and a second SIGTERM, or a SIGHUP, would end the
@@ -46,13 +46,13 @@
         try:
             await life
         finally:
-            signals.hold()
+            signals.block_all()
 
-    with signals.kept(), asyncio.Runner(loop_factory=new_event_loop) as runner:
+    with signals.dispositions_restored(), asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(whole())
 
 
-def status(
+def exit_status(
     life: Coroutine[Any, Any, None],
     bad: type[Exception],
     listens: str,
@@ -63,7 +63,7 @@
     if lines is not None:
         handler.setFormatter(lines)
     try:
-        to_the_end(life)
+        run_to_completion(life)
     except bad as error:
         print(error, file=sys.stderr)
         return 2
@@ -71,6 +71,6 @@
         print(f"{listens}: {error}", file=sys.stderr)
         return 2
     except Exception:
-        Part("main").failed("ended by a fault")
+        PartLogger("main").failed("ended by a fault")
         return 1
     return 0
--- a/lapispass/net/registry.py
+++ b/lapispass/net/registry.py
@@ -10,10 +10,19 @@
 from lapispass import interface
 from lapispass.net.codec import Codec, Listing, WireError
 from lapispass.net.counters import Counters
-from lapispass.net.http import BROKEN, Dialer, Link, Overfull, Place, Quiet, ended, within
+from lapispass.net.http import (
+    CONNECTION_ERRORS,
+    Dialer,
+    Endpoint,
+    HttpConnection,
+    IdleTimeout,
+    InboxFull,
+    cancel_and_wait,
+    within,
+)
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines, TooLong
-from lapispass.net.log import Part
+from lapispass.net.lines import LineSplitter, LineTooLong
+from lapispass.net.log import PartLogger
 
 TARGET = "/registry/instances"
 
@@ -28,7 +37,7 @@
 
     def __init__(self, registry: Registry, quiet_us: int) -> None:
         self.registry, self.quiet_us = registry, quiet_us
-        self.loop, self.quiet = asyncio.get_running_loop(), Quiet(registry.limits.late_us)
+        self.loop, self.quiet = asyncio.get_running_loop(), IdleTimeout(registry.limits.late_us)
         self.begun, self.until = False, 0.0
 
     def came(self, whole: bool = False, begun: bool = True) -> None:
@@ -38,11 +47,11 @@
             doublings = min(self.registry.slow, self.registry.limits.list_doublings)
             self.until = now + (self.quiet_us << doublings) / 1e6
         self.begun = begun
-        self.quiet.hear(min(self.quiet_us, max(0, int((self.until - now) * 1e6))))
+        self.quiet.extend(min(self.quiet_us, max(0, int((self.until - now) * 1e6))))
 
     async def __aenter__(self) -> Progress:
         await self.quiet.__aenter__()
-        self.quiet.hear(self.quiet_us)
+        self.quiet.extend(self.quiet_us)
         return self
 
     async def __aexit__(self, *raised: Any) -> bool | None:
@@ -68,9 +77,9 @@
     ) -> None:
         self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
         self.replaced = replaced  # is told of a server that is at another address now, or has started anew
-        self.place, self.dialer = Place(address, limits, self.begin, self.switch), Dialer(limits)
+        self.place, self.dialer = Endpoint(address, limits, self.begin, self.switch), Dialer(limits)
         self.watching: asyncio.Task[None] | None = None
-        self.log = Part("registry", limits.log_every_us)
+        self.log = PartLogger("registry", limits.log_every_us)
         self.version: int | None = known.version if known.entries else None
         self.addresses: dict[interface.BackendId, str] = dict(known.addresses)
         self.born: dict[interface.BackendId, int] = {
@@ -89,24 +98,24 @@
     async def run(self) -> None:
         """One watch after the other, each when it is asked for."""
         await self.asked.wait()
-        beside = [asyncio.create_task(life) for life in (self.place.moves(), self.renewals())]
+        beside = [asyncio.create_task(life) for life in (self.place.follow_moves(), self.renewals())]
         try:
             while True:
                 self.asked.clear()
                 self.watching = asyncio.create_task(self.watch())
                 await asyncio.wait((self.watching,))
-                if self.place.ready:
+                if self.place.standby:
                     continue  # it goes on from the version known: nothing is missed
                 self.counters["registry.lost"] += 1
                 self.tell(interface.Listed("lost", ()))
                 # Guards the list where no turn can ask, as while a relay call is unsettled.
-                unasked_us = int(self.limits.unasked_us * random.uniform(0.8, 1.2))
+                watch_reopen_us = int(self.limits.watch_reopen_us * random.uniform(0.8, 1.2))
                 try:
-                    await within(unasked_us, self.asked.wait(), 0)
+                    await within(watch_reopen_us, self.asked.wait(), 0)
                 except TimeoutError:
                     self.counters["registry.unasked"] += 1
         finally:
-            await ended(*beside, self.watching)
+            await cancel_and_wait(*beside, self.watching)
             self.place.close()
 
     def move(self, address: str) -> None:
@@ -132,7 +141,12 @@
         nobody would ever ask again. A registry can take one call of every controller in some seconds, so each
         asks by its own chance, seldom, and less often where the registry is slow.
         """
-        loop, limits, every_us, asked_at = asyncio.get_running_loop(), self.limits, self.limits.renew_us, 0.0
+        loop, limits, every_us, asked_at = (
+            asyncio.get_running_loop(),
+            self.limits,
+            self.limits.watch_renew_us,
+            0.0,
+        )
         while await self.open.wait():
             due = self.heard_at + every_us * random.uniform(0.8, 1.2) / 1e6
             try:
@@ -143,8 +157,8 @@
                     continue  # it has told something meanwhile
             else:
                 self.strange.clear()
-                await asyncio.sleep(limits.strange_us * random.uniform(0.5, 1.5) / 1e6)
-                if self.stranger in self.born or loop.time() < asked_at + 5 * limits.strange_us / 1e6:
+                await asyncio.sleep(limits.unlisted_us * random.uniform(0.5, 1.5) / 1e6)
+                if self.stranger in self.born or loop.time() < asked_at + 5 * limits.unlisted_us / 1e6:
                     continue  # the list was a little behind only
             if not self.open.is_set():
                 continue
@@ -153,12 +167,12 @@
             asked_at = self.heard_at = loop.time()
             try:
                 await self.place.renew()
-                slow = loop.time() - asked_at > limits.renew_slow_us / 1e6
+                slow = loop.time() - asked_at > limits.watch_renew_slow_us / 1e6
             except Exception:  # whatever it was: this life must not end
                 slow = True
-            every_us = min(2 * every_us, limits.renew_most_us) if slow else limits.renew_us
+            every_us = min(2 * every_us, limits.watch_renew_max_us) if slow else limits.watch_renew_us
 
-    async def begin(self, address: str) -> Link:
+    async def begin(self, address: str) -> HttpConnection:
         """A connection; its watch is answered, where there is a version to go on from."""
         link = await self.dialer.open(address)
         try:
@@ -169,8 +183,8 @@
             raise
         return link
 
-    async def ask(self, link: Link) -> None:
-        link.since = self.version
+    async def ask(self, link: HttpConnection) -> None:
+        link.watch_from = self.version
         status = await within(
             self.limits.list_us, self.call(link, f"{TARGET}?watch=1&from={self.version}"), self.limits.late_us
         )
@@ -183,24 +197,24 @@
         try:
             if self.version is None:  # nothing to go on from
                 await self.fetch()
-            link = await self.place.link()
-            if link.since is None:
+            link = await self.place.connect()
+            if link.watch_from is None:
                 await self.ask(link)
             self.counters["registry.watches"] += 1
             self.log.say("watch open", version=self.version)
             self.heard_at = asyncio.get_running_loop().time()
             self.open.set()
-            lines = Lines(self.limits.list_bytes)
-            async with Progress(self, self.limits.watch_quiet_us) as progress:
-                while piece := await link.piece():
+            lines = LineSplitter(self.limits.list_bytes)
+            async with Progress(self, self.limits.watch_idle_us) as progress:
+                while piece := await link.read_chunk():
                     whole = 0
-                    for line in lines.cut(piece):
+                    for line in lines.split(piece):
                         whole += 1
                         if line:
                             self.take(self.codec.listing(line), link)
-                    progress.came(bool(whole), bool(lines.rest))
+                    progress.came(bool(whole), bool(lines.unfinished))
             raise EOFError("ended")
-        except (*BROKEN, WireError, TooLong) as error:
+        except (*CONNECTION_ERRORS, WireError, LineTooLong) as error:
             why = f"{type(error).__name__} {error}"
         except Exception as error:  # a fault of our own costs this watch, not the controller
             why = type(error).__name__
@@ -212,13 +226,13 @@
         self.log.rate_limited("watch lost", version=self.version, why=why)
 
     @staticmethod
-    async def call(link: Link, target: str) -> int:
+    async def call(link: HttpConnection, target: str) -> int:
         await link.send("GET", target)
         return await link.answer()
 
     async def fetch(self) -> None:
         """The whole list, once."""
-        link = await self.place.link()
+        link = await self.place.connect()
         try:
             status = await within(self.limits.list_us, self.call(link, TARGET), self.limits.late_us)
             async with Progress(self, self.limits.list_us) as progress:
@@ -230,7 +244,7 @@
         self.counters["registry.lists"] += 1
         self.take(self.codec.listing(body))
 
-    def take(self, listing: Listing, link: Link | None = None) -> None:
+    def take(self, listing: Listing, link: HttpConnection | None = None) -> None:
         """One message of the registry."""
         self.counters["registry.messages"] += 1
         if listing.unreadable:
@@ -242,9 +256,9 @@
             self.log.rate_limited("too many servers", left_out=unknown, most=self.limits.servers)
         behind = self.version is not None and listing.version < self.version
         if link:
-            if behind and link.since is not None and link.since <= listing.version:
+            if behind and link.watch_from is not None and link.watch_from <= listing.version:
                 return  # written before the watch that this one takes over from told more: that is known
-            link.since, self.heard_at = None, asyncio.get_running_loop().time()
+            link.watch_from, self.heard_at = None, asyncio.get_running_loop().time()
         if behind and not listing.whole:
             # What changed since cannot be told from it: the next watch begins with the whole list.
             self.version = None
@@ -253,7 +267,7 @@
         kind = "whole" if listing.whole and not listing.unreadable and not unknown else "changes"
         try:
             self.tell(interface.Listed(kind, entries))
-        except Overfull:
+        except InboxFull:
             self.version = None  # what was not taken in is told again with the whole list
             raise
         self.version, self.slow = listing.version, 0
--- a/lapispass/net/relay.py
+++ b/lapispass/net/relay.py
@@ -10,10 +10,19 @@
 from lapispass.net import codec as words
 from lapispass.net.codec import Codec, Refused, WireError
 from lapispass.net.counters import Counters
-from lapispass.net.http import BROKEN, Backoff, Dialer, Link, Place, Quiet, ended, within
+from lapispass.net.http import (
+    CONNECTION_ERRORS,
+    Backoff,
+    Dialer,
+    Endpoint,
+    HttpConnection,
+    IdleTimeout,
+    cancel_and_wait,
+    within,
+)
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines, TooLong
-from lapispass.net.log import Part
+from lapispass.net.lines import LineSplitter, LineTooLong
+from lapispass.net.log import PartLogger
 
 FORM = (("Content-Type", "application/x-www-form-urlencoded"),)
 
@@ -31,8 +40,8 @@
 
     def __init__(self, address: str, codec: Codec, limits: Limits, counters: Counters) -> None:
         self.address, self.codec, self.limits, self.counters = address, codec, limits, counters
-        self.log = Part("relay", limits.log_every_us)
-        self.link: Link | None = None
+        self.log = PartLogger("relay", limits.log_every_us)
+        self.link: HttpConnection | None = None
         self.dialer, self.used_at = Dialer(limits), 0.0
         self.rows: dict[int, interface.BackendId | None] = {}  # each slice's owner, as last told or ordered
         self.given: set[int] = set()  # slices given anew while a call is under way
@@ -97,7 +106,7 @@
                     part = part[len(part) // 2 :]
                     continue
                 await again.wait()
-            except (*BROKEN, WireError) as error:
+            except (*CONNECTION_ERRORS, WireError) as error:
                 self.counters["relay.unknown"] += 1
                 self.log.rate_limited(
                     "call unsettled", why=f"{type(error).__name__} {error}", orders=len(part)
@@ -134,27 +143,27 @@
         """The life of a call: a connection, the orders, the answer's count."""
         loop = asyncio.get_running_loop()
         link, self.link = self.link, None
-        idle = loop.time() - self.used_at > self.limits.idle_us / 1e6
-        if link and link.unasked:
+        idle = loop.time() - self.used_at > self.limits.call_idle_us / 1e6
+        if link and link.has_unrequested_data:
             # Guards against an answer that came twice: the second may have passed for that to the next call,
             # which would count as carried out though nobody knows. What stands is compared.
             self.counters["relay.answers_unasked"] += 1
             self.log.rate_limited("answer unasked")
             self.doubt()
-        if link and (not link.usable or idle or link.unasked or link.address != self.address):
+        if link and (not link.usable or idle or link.has_unrequested_data or link.address != self.address):
             link.close()  # guards against one that the relay is about to close, as idle or since it has moved
             link = None
         link = link or await self.dialer.open(self.address)
         try:
             answer = await within(self.limits.answer_us, self.exchange(link, body), self.limits.late_us)
-            if link.next_call():
+            if link.start_next_call():
                 self.link, self.used_at = link, loop.time()
             return words.taken(answer)
         finally:
             if self.link is not link:
                 link.close()
 
-    async def exchange(self, link: Link, body: bytes) -> bytes:
+    async def exchange(self, link: HttpConnection, body: bytes) -> bytes:
         await link.send("POST", "/", body, FORM)
         await link.answer()
         return await link.body(self.limits.answer_bytes)
@@ -177,10 +186,10 @@
         counters: Counters,
     ) -> None:
         self.dialer = Dialer(limits)
-        self.place = Place(address, limits, self.dialer.open, self.switch)
+        self.place = Endpoint(address, limits, self.dialer.open, self.switch)
         self.calls, self.tell, self.codec, self.limits, self.counters = calls, tell, codec, limits, counters
-        self.log = Part("news", limits.log_every_us)
-        self.link: Link | None = None
+        self.log = PartLogger("news", limits.log_every_us)
+        self.link: HttpConnection | None = None
         self.streaming: asyncio.Task[None] | None = None
         calls.doubt = self.look_again
         self.joined: set[int] = set()
@@ -189,18 +198,18 @@
 
     async def run(self) -> None:
         again = Backoff(self.limits)
-        moving = asyncio.create_task(self.place.moves())
+        moving = asyncio.create_task(self.place.follow_moves())
         try:
             while True:
                 began = asyncio.get_running_loop().time()
                 self.streaming = asyncio.create_task(self.stream())
                 await asyncio.wait((self.streaming,))
-                if asyncio.get_running_loop().time() - began > self.limits.lasted_us / 1e6:
+                if asyncio.get_running_loop().time() - began > self.limits.stable_stream_us / 1e6:
                     again.reset()
-                if not self.place.ready:
+                if not self.place.standby:
                     await again.wait()
         finally:
-            await ended(moving, self.streaming)
+            await cancel_and_wait(moving, self.streaming)
             self.place.close()
 
     def move(self, address: str) -> None:
@@ -216,22 +225,22 @@
         """The life of a stream of news, from the call to its end. Nothing is written after the call."""
         why, loop = "", asyncio.get_running_loop()
         try:
-            self.link = link = await self.place.link()
+            self.link = link = await self.place.connect()
             await self.calls.quiet.acquire()
             self.picture = []
             # Guards against a relay that needs longer than usual, which would never come to an end: each
             # attempt that fails gives the next one twice as long. Only what is spent waiting for it counts.
-            patience_us = self.limits.told_us << min(self.failed, self.limits.picture_doublings)
+            patience_us = self.limits.snapshot_us << min(self.failed, self.limits.snapshot_doublings)
             left_us = 2 * patience_us
             if (status := await within(patience_us, self.ask(link), self.limits.late_us)) != 200:
                 raise EOFError(f"status {status}")
             self.counters["news.opened"] += 1
             self.log.say("news open", joined=len(self.joined), slices=len(self.calls.rows))
-            lines, kind, data, handled = Lines(self.limits.message_bytes), "", "", 0
-            async with Quiet(self.limits.late_us) as quiet:
+            lines, kind, data, handled = LineSplitter(self.limits.message_bytes), "", "", 0
+            async with IdleTimeout(self.limits.late_us) as quiet:
                 while True:
                     if self.picture is None:
-                        piece = await link.piece()
+                        piece = await link.read_chunk()
                     elif left_us <= 0 or len(self.picture) > 2 * self.limits.events:
                         raise TimeoutError("no end to what stands")
                     else:
@@ -240,11 +249,11 @@
                         left_us -= int((loop.time() - since) * 1e6)
                         if piece is None:
                             self.compare()
-                            quiet.hear(self.limits.news_quiet_us)
+                            quiet.extend(self.limits.events_idle_us)
                             continue
                     if not piece:
                         raise EOFError("ended")
-                    for line in lines.cut(piece):
+                    for line in lines.split(piece):
                         if line[:6] == b"event:":
                             kind = str(line[6:], "utf-8").strip()
                         elif line[:5] == b"data:":
@@ -256,12 +265,12 @@
                             kind, data = "", ""
                         # Only whole lines are signs of life: bytes may dribble in that never make one.
                         if self.picture is None:
-                            quiet.hear(self.limits.news_quiet_us)
+                            quiet.extend(self.limits.events_idle_us)
                     handled += len(piece)
-                    if handled >= self.limits.turn_bytes:  # a piece that is there already is no wait
+                    if handled >= self.limits.quantum_bytes:  # a piece that is there already is no wait
                         handled = 0
                         await asyncio.sleep(0)
-        except (*BROKEN, UnicodeError, TooLong, WireError) as error:
+        except (*CONNECTION_ERRORS, UnicodeError, LineTooLong, WireError) as error:
             why = f"{type(error).__name__} {error}"
         except Exception as error:  # a fault of our own costs this stream, not the controller
             why = type(error).__name__
@@ -275,15 +284,15 @@
         self.counters["news.lost"] += 1
         self.log.rate_limited("news lost", why=why)
 
-    async def told(self, link: Link, patience_us: int) -> bytes | bytearray | None:
+    async def told(self, link: HttpConnection, patience_us: int) -> bytes | bytearray | None:
         """A further piece of what stands; None where news pause: the end is not told, so that was all."""
-        pause = Quiet(self.limits.late_us)
+        pause = IdleTimeout(self.limits.late_us)
         try:
             async with pause:
-                pause.hear(self.limits.picture_us if self.picture else patience_us)
-                return await link.piece()
+                pause.extend(self.limits.snapshot_gap_us if self.picture else patience_us)
+                return await link.read_chunk()
         except TimeoutError:
-            if not pause.ends.expired():
+            if not pause.timeout.expired():
                 raise  # the connection's own
             return None
 
@@ -293,7 +302,7 @@
             self.link.close()
 
     @staticmethod
-    async def ask(link: Link) -> int:
+    async def ask(link: HttpConnection) -> int:
         await link.send("GET", "/events", headers=(("Accept", "text/event-stream"),))
         return await link.answer()
 
@@ -311,7 +320,7 @@
             # Guards what is decided on a picture: a proxy or a slice that can't be read would count as gone.
             # It is asked for again; where it can't be read however often, that is what stands.
             self.spoilt += 1
-            if self.spoilt <= self.limits.spoilt_pictures:
+            if self.spoilt <= self.limits.malformed_snapshots:
                 raise
             return
         self.counters[f"news.{kind}" if event else "news.unknown_kind"] += 1
--- a/lapispass/net/resilient_socket.py
+++ b/lapispass/net/resilient_socket.py
@@ -18,7 +18,7 @@
 
 
 @contextmanager
-def _again(call: str) -> Iterator[None]:
+def _retried_on_shortage(call: str) -> Iterator[None]:
     """Raises BlockingIOError, as for EAGAIN, in place of a shortage that may pass."""
     try:
         yield
@@ -37,7 +37,7 @@
     `shutdown`: a peer that is gone already needs no end of the stream.
     """
 
-    read_most: int | None = None  # bytes that one `recv` takes at most
+    max_read_bytes: int | None = None  # bytes that one `recv` takes at most
 
     @classmethod
     def adopt(cls, plain: socket.socket) -> ResilientSocket:
@@ -59,21 +59,21 @@
             fcntl.fcntl(self, fcntl.F_SETFL, status if flag else status | os.O_NONBLOCK)
 
     def recv(self, size: int, *flags: int) -> bytes:
-        if self.read_most is not None:
-            size = min(size, self.read_most)
-        with _again("recv"):
+        if self.max_read_bytes is not None:
+            size = min(size, self.max_read_bytes)
+        with _retried_on_shortage("recv"):
             return super().recv(size, *flags)
 
     def recv_into(self, *arguments: Any) -> int:
-        with _again("recv"):
+        with _retried_on_shortage("recv"):
             return super().recv_into(*arguments)
 
     def send(self, *arguments: Any) -> int:
-        with _again("send"):
+        with _retried_on_shortage("send"):
             return super().send(*arguments)
 
     def sendmsg(self, *arguments: Any) -> int:
-        with _again("send"):
+        with _retried_on_shortage("send"):
             return super().sendmsg(*arguments)
 
     def setsockopt(self, *arguments: Any) -> None:
--- a/lapispass/net/retrying_selector.py
+++ b/lapispass/net/retrying_selector.py
@@ -20,7 +20,7 @@
 
 from lapispass.net import call_failures
 
-MAY_PASS = frozenset({errno.ENOMEM, errno.ENOSPC})
+TRANSIENT = frozenset({errno.ENOMEM, errno.ENOSPC})
 PAUSE_S = 0.005  # between two looks, while a refused change stands
 
 
@@ -44,7 +44,7 @@
         self._keys[key.fd] = key
         self._stale.discard(key.fd)
         try:
-            self._apply(key)
+            self._update_epoll(key)
         except OSError:
             del self._keys[key.fd]
             raise
@@ -54,7 +54,7 @@
         """Raises KeyError where it is not registered."""
         key = self._keys.pop(self._descriptor(fileobj))
         self._refused.discard(key.fd)
-        self._forget(key.fd)
+        self._remove_from_epoll(key.fd)
         return key
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> SelectorKey:
@@ -63,7 +63,7 @@
         key = old._replace(events=events, data=data)
         self._keys[key.fd] = key
         if events != old.events:
-            self._apply(key)
+            self._update_epoll(key)
         return key
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
@@ -105,7 +105,7 @@
                 return key.fd
         raise ValueError(f"Invalid file descriptor: {number}")
 
-    def _apply(self, key: SelectorKey) -> None:
+    def _update_epoll(self, key: SelectorKey) -> None:
         """Tells the system; an error that may pass is noted, and tried again with the next `select`."""
         mask = _mask(key.events)
         try:
@@ -114,18 +114,18 @@
             except FileExistsError:
                 self._epoll.modify(key.fd, mask)
         except OSError as error:
-            if error.errno not in MAY_PASS:
+            if error.errno not in TRANSIENT:
                 raise
             call_failures.note("epoll_ctl", error)
             self._refused.add(key.fd)
         else:
             self._refused.discard(key.fd)
 
-    def _forget(self, descriptor: int) -> None:
+    def _remove_from_epoll(self, descriptor: int) -> None:
         try:
             self._epoll.unregister(descriptor)
         except OSError as error:
-            if error.errno in MAY_PASS:  # any other: it was closed, or never known
+            if error.errno in TRANSIENT:  # any other: it was closed, or never known
                 call_failures.note("epoll_ctl", error)
                 self._stale.add(descriptor)
                 return
@@ -133,10 +133,10 @@
 
     def _retry(self) -> None:
         for descriptor in list(self._stale):
-            self._forget(descriptor)
+            self._remove_from_epoll(descriptor)
         for descriptor in list(self._refused):
             try:
-                self._apply(self._keys[descriptor])
+                self._update_epoll(self._keys[descriptor])
             except OSError:  # closed by its owner before it was unregistered
                 self._refused.discard(descriptor)
 
--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -19,13 +19,13 @@
 from lapispass.net.codec import MARKS, Codec
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
-from lapispass.net.http import Overfull
+from lapispass.net.http import InboxFull
 from lapispass.net.interval_report import IntervalReport
 from lapispass.net.launch import BadStart, Launch
-from lapispass.net.log import Part, lost
+from lapispass.net.log import PartLogger, lost
 from lapispass.net.loop_lag import LoopLag
 from lapispass.net.probes import Probes
-from lapispass.net.process import to_the_end
+from lapispass.net.process import run_to_completion
 from lapispass.net.registry import Registry
 from lapispass.net.relay import Calls, News
 from lapispass.net.slice_report import SliceReport
@@ -46,7 +46,7 @@
 
     def __init__(self, launch: Launch) -> None:
         self.launch, self.limits, self.clock = launch, launch.limits, Clock()
-        self.log, self.counters = Part("service", self.limits.log_every_us), Counters()
+        self.log, self.counters = PartLogger("service", self.limits.log_every_us), Counters()
         self.inbox: list[interface.Event] = []
         self.wakes: dict[int, int] = {}  # token: when
         self.news_came, self.ended = asyncio.Event(), asyncio.Event()
@@ -66,7 +66,7 @@
         """Takes an event for the next turn.
 
         Guards against an inbox without bound while no turn is taken: first sums are left out, and in the end
-        whoever tells more is cut off (`Overfull`), and asks later for all that stands.
+        whoever tells more is cut off (`InboxFull`), and asks later for all that stands.
         """
         waiting = len(self.inbox)
         if waiting >= self.limits.events and isinstance(
@@ -76,7 +76,7 @@
             self.log.rate_limited("sums left out", waiting=waiting)
             return
         if waiting >= 2 * self.limits.events and event != interface.Listed("lost", ()):
-            raise Overfull(f"{waiting} events wait")
+            raise InboxFull(f"{waiting} events wait")
         if isinstance(event, interface.Held | interface.Met):
             self.registry.named(event.backend)
         self.inbox.append(event)
@@ -145,7 +145,7 @@
                 if getattr(error, "errno", None) not in momentary.LOCAL or loop.time() >= until:
                     raise BadStart(f"LB_LISTEN {self.launch.listen!r}: {error}") from None
             try:
-                async with asyncio.timeout(self.limits.again_least_us / 1e6):
+                async with asyncio.timeout(self.limits.retry_min_us / 1e6):
                     await self.ended.wait()
             except TimeoutError:
                 pass
@@ -309,11 +309,11 @@
     """The process's status."""
     log.start()
     try:
-        to_the_end(serve(os.environ, joined, attach))
+        run_to_completion(serve(os.environ, joined, attach))
     except BadStart as error:
         print(f"lapispass: {error}", file=sys.stderr)
         return 2
     except Exception:
-        Part("main").failed("ended by a fault")
+        PartLogger("main").failed("ended by a fault")
         return 1
     return 0
--- a/lapispass/net/signals.py
+++ b/lapispass/net/signals.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-ENDS = {signal.SIGTERM, signal.SIGINT}
-FIXED = ENDS | {signal.SIGKILL, signal.SIGSTOP, signal.SIGCHLD, signal.SIGCONT}
+TERMINATION = {signal.SIGTERM, signal.SIGINT}
+NOT_IGNORED = TERMINATION | {signal.SIGKILL, signal.SIGSTOP, signal.SIGCHLD, signal.SIGCONT}
 FAULTS = {
     signal.SIGSEGV,
     signal.SIGBUS,
@@ -18,18 +18,18 @@
 }
 
 
-def ignore() -> None:
+def ignore_all() -> None:
     """Guards against a signal that comes before its handler stands, or has none: it would end the process.
 
     Who is told to end while still starting has nothing to bring to an end, and ends in order all the same.
     """
-    for number in signal.valid_signals() - FIXED - FAULTS:
+    for number in signal.valid_signals() - NOT_IGNORED - FAULTS:
         signal.signal(number, signal.SIG_IGN)
-    for number in ENDS:
+    for number in TERMINATION:
         signal.signal(number, lambda *_: os._exit(0))
 
 
-def hold() -> None:
+def block_all() -> None:
     """Lets no signal through any more: the process is about to end by itself."""
     signal.pthread_sigmask(
         signal.SIG_BLOCK, signal.valid_signals() - FAULTS - {signal.SIGKILL, signal.SIGSTOP}
@@ -37,7 +37,7 @@
 
 
 @contextmanager
-def kept() -> Iterator[None]:
+def dispositions_restored() -> Iterator[None]:
     """What signals do, and which are held, stands afterwards as it stood before."""
     held = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     before = {number: signal.getsignal(number) for number in signal.valid_signals() - FAULTS}
--- a/lapispass/net/slice_report.py
+++ b/lapispass/net/slice_report.py
@@ -7,7 +7,7 @@
 from lapispass.core.handover_state import HandoverState
 from lapispass.core.slice_lines import Gap, SliceLines
 from lapispass.net.limits import Limits
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 
 class SliceReport:
@@ -17,7 +17,7 @@
         self, lines: SliceLines, handover: Callable[[int], HandoverState | None], limits: Limits
     ) -> None:
         self.lines, self.handover, self.limits = lines, handover, limits
-        self.log = Part("slices")
+        self.log = PartLogger("slices")
         self.begun_at, self.written = 0, 0
 
     def turned(self, now: int) -> None:
--- a/lapispass/peers/coordination.py
+++ b/lapispass/peers/coordination.py
@@ -16,7 +16,7 @@
 import h11
 import msgspec
 
-from lapispass.net.http import BROKEN, Link, within
+from lapispass.net.http import CONNECTION_ERRORS, HttpConnection, within
 from lapispass.net.limits import Limits
 
 ANSWER_BYTES = 16 << 20
@@ -100,7 +100,7 @@
     def __init__(self, address: str, limits: Limits | None = None, call_us: int = CALL_US) -> None:
         self.address, self.call_us = address, call_us
         self.limits = limits or Limits()
-        self.link: Link | None = None
+        self.link: HttpConnection | None = None
         self.turn = asyncio.Lock()
 
     async def call(self, target: str, told: Mapping[str, Any]) -> dict[str, Any]:
@@ -110,7 +110,7 @@
                 exchange = self.exchange(target, msgspec.json.encode(told))
                 status, body = await within(self.call_us, exchange, self.limits.late_us)
                 answer = msgspec.json.decode(body)
-            except (*BROKEN, h11.LocalProtocolError, msgspec.MsgspecError) as error:
+            except (*CONNECTION_ERRORS, h11.LocalProtocolError, msgspec.MsgspecError) as error:
                 raise Unknown(f"{target}: {type(error).__name__} {error}") from None
         if status != 200 or not isinstance(answer, dict):
             raise Refused(f"{target}: {status} {str(answer)[:200]}")
@@ -124,11 +124,11 @@
                 link.close()  # ended by the service: our half of it would stay open
                 link = None
             if link is None:
-                link = await Link.open(self.address, self.limits)
+                link = await HttpConnection.open(self.address, self.limits)
             await link.send("POST", target, body, [("Content-Type", "application/json")])
             status = await link.answer()
             answer = await link.body(ANSWER_BYTES)
-            if link.next_call():
+            if link.start_next_call():
                 self.link = link
             return status, answer
         finally:
@@ -184,7 +184,7 @@
         `Unknown`."""
         link = None
         try:
-            link = await Link.open(self.address, self.limits)
+            link = await HttpConnection.open(self.address, self.limits)
             create = {
                 "key": b64(prefix),
                 "range_end": b64(end_of(prefix)),
@@ -194,7 +194,7 @@
             if await within(self.call_us, begin, self.limits.late_us) != 200:
                 raise Unknown("watch: refused")
             rest = bytearray()
-            while piece := await link.piece():
+            while piece := await link.read_chunk():
                 rest += piece
                 if len(rest) > ANSWER_BYTES:
                     raise Unknown("watch: a line without an end")
@@ -211,14 +211,20 @@
                         )
                         for event in told.get("events", ())
                     ]
-        except (*BROKEN, h11.LocalProtocolError, msgspec.MsgspecError, KeyError, TypeError) as error:
+        except (
+            *CONNECTION_ERRORS,
+            h11.LocalProtocolError,
+            msgspec.MsgspecError,
+            KeyError,
+            TypeError,
+        ) as error:
             raise Unknown(f"watch: {type(error).__name__} {error}") from None
         finally:
             if link is not None:
                 link.close()
 
     @staticmethod
-    async def begin_watch(link: Link, body: bytes) -> int:
+    async def begin_watch(link: HttpConnection, body: bytes) -> int:
         """Asks for a watch; the status of the answer."""
         await link.send("POST", "/v3/watch", body)
         return await link.answer()
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -9,7 +9,7 @@
 from lapispass.core.membership import Session
 from lapispass.net.clock import Clock
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.peers import records
 from lapispass.peers.coordination import Expect, Put, Refused, Service, Unknown
 
@@ -25,7 +25,7 @@
         ttl_s: int,
         clock: Clock,
         counters: Counters,
-        log: Part,
+        log: PartLogger,
         ended: Callable[[str], None],
     ) -> None:
         self.service, self.name, self.weight, self.ttl_s = service, name, weight, ttl_s
--- a/lapispass/retry.py
+++ b/lapispass/retry.py
@@ -9,7 +9,7 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-MayPass = Callable[[Exception], bool]
+IsTransient = Callable[[Exception], bool]
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,8 +28,8 @@
 
     result: T
 
-    def __init__(self, attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow) -> None:
-        self.attempt, self.may_pass = attempt, may_pass
+    def __init__(self, attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow) -> None:
+        self.attempt, self.is_transient = attempt, is_transient
         self.until = time.monotonic() + window.wait_s
 
     def succeeded(self) -> bool:
@@ -37,26 +37,26 @@
         try:
             self.result = self.attempt()
         except Exception as error:
-            if not self.may_pass(error) or time.monotonic() >= self.until:
+            if not self.is_transient(error) or time.monotonic() >= self.until:
                 raise
             return False
         return True
 
 
-def retry_blocking(attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow = START) -> T:
+def retry_blocking(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
     """What the attempt gives; it blocks between attempts, so it is for a process that does nothing else yet.
 
     Raises the error of the last attempt, at once where it is none that may pass.
     """
-    attempts = _Attempts(attempt, may_pass, window)
+    attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
         time.sleep(window.pause_s)
     return attempts.result
 
 
-async def retry(attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow = START) -> T:
+async def retry(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
     """As `retry_blocking`, on a loop that goes on meanwhile."""
-    attempts = _Attempts(attempt, may_pass, window)
+    attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
         await asyncio.sleep(window.pause_s)
     return attempts.result
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -25,7 +25,7 @@
 from lapispass.net import log
 from lapispass.net.counters import Counters
 from lapispass.net.http import within
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator.read import BadFile, Source
 from lapispass.xds import codec
 from lapispass.xds.server import ClosingServer
@@ -67,7 +67,7 @@
         self.module, self.now, self.deployment, self.terms = module, now, deployment, terms
         self.doorway, self.counters, self.tls = doorway, counters, tls
         self.listen, self.address = listen, ""
-        self.log = Part("xds", 1_000_000)
+        self.log = PartLogger("xds", 1_000_000)
         self.shelf = Shelf()
         self.picture = Picture(deployment.slices, deployment.classes, deployment.admits == "share")
         resources.fixed(self.shelf, deployment.slices, max(1, deployment.usual_retry), terms.ttl_us)
@@ -133,7 +133,7 @@
         """So that `awake` can tell a pause from quiet."""
         while True:
             await asyncio.sleep(LOOK_S)
-            log.write_on()
+            log.flush_pending()
             self.awake()
 
     # its life
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -21,7 +21,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.http import Backoff
 from lapispass.net.limits import Limits
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.net.probes import Probes
 from lapispass.operator import read as operator
 from lapispass.operator.operator_pb2 import Node
@@ -45,7 +45,7 @@
                 [source.at("alone", "missing: the file describes no controller without the platform")]
             )
         self.source, self.clock, self.counters = source, Clock(), Counters()
-        self.log = Part("host", 1_000_000)
+        self.log = PartLogger("host", 1_000_000)
         self.told = operator.alone(source.told)
         self.limits = limits = Limits()
         self.inbox: list[interface.Event] = []
@@ -228,10 +228,10 @@
 async def serve(path: Path, seed: int, kind: type[Host]) -> None:
     """A whole process."""
     host = kind(operator.read_at_start(path), seed)
-    process.on_signals(host.stop, host.print_counters, host.read_again)
+    process.install_signal_handlers(host.stop, host.print_counters, host.read_again)
     await host.run()
 
 
 def main(path: Path, seed: int, kind: type[Host] = Host) -> int:
     """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
-    return process.status(serve(path, seed, kind), BadFile, f"{path}: xds.listen")
+    return process.exit_status(serve(path, seed, kind), BadFile, f"{path}: xds.listen")
--- a/lapispass/xds/server.py
+++ b/lapispass/xds/server.py
@@ -19,9 +19,9 @@
 from grpclib.server import Server
 
 from lapispass.core import momentary
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.retry import START
 
 if TYPE_CHECKING:
@@ -50,19 +50,21 @@
         if self.is_closing:
             transport.abort()
 
-    async def listen(self, address: str, tls: ssl.SSLContext | None, log: Part, counters: Counters) -> str:
+    async def listen(
+        self, address: str, tls: ssl.SSLContext | None, log: PartLogger, counters: Counters
+    ) -> str:
         """Listens at `host:port`; the address that it has got.
 
         An address that cannot be had for a moment, as while a former process ends, is tried for a while.
         """
-        listener = await listener_in_time(address, BACKLOG)
+        listener = await listen_with_retries(address, BACKLOG)
         await self.start_in_time(listener, tls)
         asyncio.get_running_loop().remove_reader(listener.fileno())
         self.acceptor = Acceptor(
             listener,
             self._protocol_factory,
             name="xds",
-            at_once=AT_ONCE,
+            accept_batch=AT_ONCE,
             log=log,
             counters=counters,
             tls=tls,
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -24,7 +24,7 @@
 from lapispass.net.codec import Codec, Listing
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
-from lapispass.net.http import Link
+from lapispass.net.http import HttpConnection
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
 from lapispass.net.registry import Registry
@@ -35,19 +35,19 @@
     connect_us=300 * MS,
     answer_us=60 * MS,
     list_us=200 * MS,
-    watch_quiet_us=250 * MS,
-    news_quiet_us=250 * MS,
-    told_us=150 * MS,
-    picture_us=20 * MS,
+    watch_idle_us=250 * MS,
+    events_idle_us=250 * MS,
+    snapshot_us=150 * MS,
+    snapshot_gap_us=20 * MS,
     probe_us=100 * MS,
-    again_least_us=5 * MS,
-    again_most_us=20 * MS,
+    retry_min_us=5 * MS,
+    retry_max_us=20 * MS,
     late_us=50 * MS,
-    unasked_us=100 * MS,
+    watch_reopen_us=100 * MS,
     join_us=100 * MS,
     message_us=200 * MS,
-    fresh_us=5 * MS,
-    room_us=20 * MS,
+    eviction_grace_us=5 * MS,
+    room_wait_us=20 * MS,
     unread_us=200 * MS,
     linger_us=50 * MS,
     bind_us=60 * MS,
@@ -67,9 +67,9 @@
         self.gates: dict[str, asyncio.Event] = {}
         self.refused: set[str] = set()
         self.dialed: list[str] = []
-        dial = Link._dial
+        dial = HttpConnection._dial
 
-        async def late(address: str, limits: Limits) -> Link:
+        async def late(address: str, limits: Limits) -> HttpConnection:
             self.dialed.append(address)
             if address in self.refused:
                 raise ConnectionRefusedError(address)
@@ -77,7 +77,7 @@
                 await self.gates[address].wait()
             return await dial(address, limits)
 
-        monkeypatch.setattr(Link, "_dial", late)
+        monkeypatch.setattr(HttpConnection, "_dial", late)
 
 
 class Party:
@@ -327,7 +327,7 @@
     heard: list[interface.Event] = []
     collectors = Collectors(heard.append, CODEC, limits, Counters())
     await collectors.listen("127.0.0.1:0")
-    port = collectors.server.sockets[0].getsockname()[1]
+    port = collectors.acceptor.sockets[0].getsockname()[1]
 
     writers: list[asyncio.StreamWriter] = []
 
--- a/tests/planted_controller.py
+++ b/tests/planted_controller.py
@@ -10,7 +10,7 @@
 
 from lapispass.net import service
 from lapispass.net.codec import Listing
-from lapispass.net.http import Link
+from lapispass.net.http import HttpConnection
 from lapispass.net.registry import Registry
 
 LATE_S = 2.5
@@ -20,7 +20,7 @@
 class LateRegistry(Registry):
     """Takes the whole list at once, and changes of it much later."""
 
-    def take(self, listing: Listing, link: Link | None = None) -> None:
+    def take(self, listing: Listing, link: HttpConnection | None = None) -> None:
         if listing.whole or not listing.entries:
             super().take(listing, link)
         else:
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -7,9 +7,9 @@
 
 from parties import play
 
-from lapispass.net.acceptor import Acceptor, listener_at, streams
+from lapispass.net.acceptor import Acceptor, listen_at, stream_protocols
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 
 def test_answers_do_not_wait_for_the_client_to_acknowledge_earlier_ones() -> None:
@@ -21,13 +21,13 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             taken.put_nowait((reader, writer))
 
-        listener = listener_at("127.0.0.1:0", 8)
+        listener = listen_at("127.0.0.1:0", 8)
         acceptor = Acceptor(
             listener,
-            streams(serve, 1000),
+            stream_protocols(serve, 1000),
             name="test",
-            at_once=8,
-            log=Part("test"),
+            accept_batch=8,
+            log=PartLogger("test"),
             counters=Counters(),
         )
         try:
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -16,7 +16,7 @@
     async def test() -> None:
         async with listening() as (collectors, _, connect):
             await connect()
-            await until(lambda: collectors.open)
+            await until(lambda: collectors.connections)
             for task in collectors.tasks:  # as the loop does with what is left at the end of the process
                 task.cancel()
             await until(lambda: not collectors.tasks)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -21,7 +21,7 @@
 from lapispass.net.codec import Codec, Listing, Refused, WireError, call, taken
 from lapispass.net.counters import Counters
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines, TooLong
+from lapispass.net.lines import LineSplitter, LineTooLong
 from lapispass.net.registry import Registry
 
 TOLD = deployment(slices=200, proxies=60, zones=("a", "b"), load_fields=("waiting", "busy"))
@@ -382,15 +382,15 @@
     )
     wanted = [line.removesuffix(b"\r") for line in text.split(b"\n")[:-1]]
     for most in (1, 3, 50, 5000):
-        lines, got, at = Lines(100), [], 0
+        lines, got, at = LineSplitter(100), [], 0
         while at < len(text):
             size = chance.randint(1, most)
-            got += [bytes(line) for line in lines.cut(text[at : at + size])]
+            got += [bytes(line) for line in lines.split(text[at : at + size])]
             at += size
         assert got == wanted
     assert (
-        isinstance(next(Lines(9).cut(piece := b"abc\n")).obj, bytes)
-        and next(Lines(9).cut(piece)).obj is piece
+        isinstance(next(LineSplitter(9).split(piece := b"abc\n")).obj, bytes)
+        and next(LineSplitter(9).split(piece)).obj is piece
     )
 
 
@@ -398,10 +398,10 @@
     "pieces", [[b"x" * 11], [b"x" * 6, b"x" * 6], [b"x" * 11 + b"\n"], [b"x" * 9, b"xx\n"]]
 )
 def test_a_line_without_an_end_is_not_waited_for(pieces: list[bytes]) -> None:
-    lines = Lines(10)
-    with pytest.raises(TooLong):
+    lines = LineSplitter(10)
+    with pytest.raises(LineTooLong):
         for piece in pieces:
-            list(lines.cut(piece))
+            list(lines.split(piece))
 
 
 odd = some.one_of(
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -52,7 +52,7 @@
         assert await rest(reader) in (b"NACK why=unreadable\r\n", b"")  # a reset may overtake it
         good.write(LINE)
         await until(lambda: heard == [MET])
-        assert collectors.counters["collectors.turned_away"] == 1 and len(collectors.open) == 1
+        assert collectors.counters["collectors.turned_away"] == 1 and len(collectors.connections) == 1
         bad.close()
         good.close()
 
@@ -69,18 +69,18 @@
 
 
 async def test_a_collector_joins_where_all_places_are_taken_by_clients_that_keep_asking() -> None:
-    async with listening(replace(QUICK, connections=6, at_once=2)) as (collectors, heard, connect):
+    async with listening(replace(QUICK, connections=6, accept_batch=2)) as (collectors, heard, connect):
 
         async def ask() -> None:
             reader, writer = await connect(b"")
             while True:
                 writer.write(b"PING\r\n")
                 await reader.readexactly(6)
-                await asyncio.sleep(QUICK.fresh_us / 4e6)
+                await asyncio.sleep(QUICK.eviction_grace_us / 4e6)
 
         asking = [asyncio.create_task(ask()) for _ in range(6)]
         await until(lambda: collectors.counters["collectors.pings"] > 60)
-        assert len(collectors.open) == 6
+        assert len(collectors.connections) == 6
         await connect(JOIN + LINE)
         await until(lambda: heard)
         assert collectors.counters["collectors.crowded_out"] == 1
@@ -88,13 +88,13 @@
 
 
 async def test_clients_in_the_midst_of_a_message_stay_where_others_are_idle() -> None:
-    limits = replace(QUICK, connections=4, at_once=2, message_us=20 * SECOND)
+    limits = replace(QUICK, connections=4, accept_batch=2, message_us=20 * SECOND)
     async with listening(limits) as (collectors, _, connect):
         begun = [await connect(b"PI") for _ in range(2)]
         idle = [await connect(b"PING\r\n") for _ in range(2)]
         for reader, _ in idle:
             assert await reader.readexactly(6) == b"PONG\r\n"
-        await asyncio.sleep(2 * QUICK.fresh_us / 1e6)
+        await asyncio.sleep(2 * QUICK.eviction_grace_us / 1e6)
         more = [await connect(b"PING\r\n") for _ in range(2)]
         for reader, _ in more:
             assert await reader.readexactly(6) == b"PONG\r\n"
@@ -113,14 +113,14 @@
             writer.write((SPOILT + LINE) * 40 + bad + LINE)
             assert await rest(reader) == b"", "a collector is never written to"
             writer.close()
-        await until(lambda: not collectors.open)
+        await until(lambda: not collectors.connections)
         # The first stray byte spoils one report; the second shows that there is no wire any more.
         assert heard == [MET] * 82 and collectors.counters["collectors.turned_away"] == 2
-        assert collectors.counters["collectors.unreadable"] == 40 * 6 + QUICK.unreadable + 1 + 1
+        assert collectors.counters["collectors.unreadable"] == 40 * 6 + QUICK.unreadable_lines + 1 + 1
 
 
 async def test_strangers_that_come_by_hundreds_do_not_keep_collectors_out() -> None:
-    limits = replace(QUICK, connections=6, at_once=2, join_us=20 * SECOND)
+    limits = replace(QUICK, connections=6, accept_batch=2, join_us=20 * SECOND)
     async with listening(limits) as (collectors, heard, connect):
         _, good = await connect(JOIN + LINE)
         await until(lambda: heard)
@@ -129,7 +129,7 @@
         await until(lambda: len(heard) == 2 and collectors.counters["collectors.opened"] == 202)
         good.write(LINE)
         await until(lambda: len(heard) == 3)
-        assert len(collectors.open) <= 6
+        assert len(collectors.connections) <= 6
         for _, writer in [*strangers, (None, good), (None, late)]:
             writer.close()
 
@@ -164,7 +164,7 @@
     # It was cut off as soon as 16 KiB of answers waited.
     many = 4000
     async with listening(replace(QUICK, unsent_bytes=8000, unread_us=2 * SECOND)) as (listener, _, connect):
-        listener.server.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        listener.acceptor.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         narrow = socket.socket()
         narrow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         narrow.connect(("127.0.0.1", connect.port))
@@ -183,11 +183,11 @@
         _, good = await connect(JOIN + LINE)
         await until(lambda: heard)
         await connect(b"")
-        await until(lambda: len(collectors.open) == 2)
-        quiet = next(guest for guest in collectors.open if guest.zone is None)
-        collectors.crowd_out(quiet)
-        collectors.take(memoryview(JOIN.strip()), quiet)  # its line had been read
-        assert quiet not in collectors.open and len(collectors.open) == 1
+        await until(lambda: len(collectors.connections) == 2)
+        quiet = next(guest for guest in collectors.connections if guest.zone is None)
+        collectors.evict(quiet)
+        collectors.handle_line(memoryview(JOIN.strip()), quiet)  # its line had been read
+        assert quiet not in collectors.connections and len(collectors.connections) == 1
         good.write(LINE)
         await until(lambda: len(heard) == 2)
 
@@ -195,18 +195,18 @@
 async def test_a_connection_taken_in_the_instant_of_the_end_is_closed() -> None:
     collectors = Collectors(lambda event: None, CODEC, QUICK, Counters())
     await collectors.listen("127.0.0.1:0")
-    port = collectors.server.sockets[0].getsockname()[1]
+    port = collectors.acceptor.sockets[0].getsockname()[1]
     collectors.close()
     server = await asyncio.start_server(collectors.serve, "127.0.0.1", 0)  # as one taken just before
     port = server.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    assert await rest(reader) == b"" and not collectors.tasks and not collectors.open
+    assert await rest(reader) == b"" and not collectors.tasks and not collectors.connections
     writer.transport.abort()
     server.close()
 
 
 async def test_floods_keep_no_sign_of_life_and_no_report_waiting() -> None:
-    limits = replace(QUICK, connections=32, at_once=8, join_us=SECOND)
+    limits = replace(QUICK, connections=32, accept_batch=8, join_us=SECOND)
     async with listening(limits) as (_, heard, connect):
         _, good = await connect()
         flooding = True
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -25,7 +25,7 @@
 class Said:
     """A connection that says these pieces and then ends."""
 
-    address, usable, since = "", True, 5
+    address, usable, watch_from = "", True, 5
 
     def __init__(self, pieces: list[bytes], ends: Any = b"") -> None:
         self.pieces, self.ends, self.closed = list(pieces), ends, False
@@ -36,7 +36,7 @@
     async def answer(self) -> int:
         return 200
 
-    async def piece(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         await asyncio.sleep(0)
         if self.pieces:
             return self.pieces.pop(0)
@@ -73,7 +73,7 @@
     heard: list[interface.Event] = []
     calls = Calls("", CODEC, QUICK, Counters())
     news = News("", calls, heard.append, CODEC, QUICK, Counters())
-    news.place.ready = Said(pieces, ends)
+    news.place.standby = Said(pieces, ends)
     await news.stream()
     assert not calls.quiet.locked() and news.picture is None and news.counters["news.lost"] == 1
     return heard, news
@@ -110,7 +110,7 @@
 async def list_heard(pieces: list[bytes]) -> tuple[list[interface.Event], Registry]:
     heard: list[interface.Event] = []
     registry = Registry("", KNOWN, heard.append, CODEC, QUICK, Counters())
-    said = registry.place.ready = Said(pieces)
+    said = registry.place.standby = Said(pieces)
     await registry.watch()
     assert said.closed and not registry.open.is_set() and LOST not in heard
     return heard[1:], registry
@@ -180,8 +180,8 @@
         reader, writer = Reader(), Writer()
         life = asyncio.create_task(collectors.serve(reader, writer))  # type: ignore[arg-type]
         said = REPORTS[:until]
-        for piece in cut(said, places) if said else []:
-            reader.feed_data(piece)
+        for read_chunk in cut(said, places) if said else []:
+            reader.feed_data(read_chunk)
             await asyncio.sleep(0)
         if closing:
             collectors.close()
@@ -191,6 +191,6 @@
         assert heard == [MET] * lines.count(LINE[:-1]) and writer.transport.said == b"PONG\r\n" * lines.count(
             b"PING\r"
         )
-        assert writer.transport.aborted and not collectors.open and not collectors.tasks
+        assert writer.transport.aborted and not collectors.connections and not collectors.tasks
 
     play(test())
--- a/tests/test_front_starts.py
+++ b/tests/test_front_starts.py
@@ -14,8 +14,8 @@
 from xds_process import xds_controller
 
 from lapispass.net.counters import Counters
-from lapispass.net.http import split
-from lapispass.net.log import Part
+from lapispass.net.http import split_address
+from lapispass.net.log import PartLogger
 from lapispass.xds.server import ClosingServer
 
 MOMENTS = [
@@ -74,8 +74,8 @@
 
     monkeypatch.setattr(socket.socket, "listen", listen)
     server = ClosingServer([], config=Configuration().__for_server__())
-    address = await server.listen("127.0.0.1:0", None, Part("test"), Counters())
+    address = await server.listen("127.0.0.1:0", None, PartLogger("test"), Counters())
     assert not failures
-    _, writer = await asyncio.open_connection(*split(address))
+    _, writer = await asyncio.open_connection(*split_address(address))
     writer.close()
     await server.end()
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,7 +10,7 @@
 from fleet import MS, SECOND
 from parties import QUICK, HeldDials, Party, silent, until
 
-from lapispass.net.http import Dialer, Link, within
+from lapispass.net.http import Dialer, HttpConnection, within
 from lapispass.net.limits import Limits
 
 
@@ -35,13 +35,15 @@
     async with Party(silent) as party:
         for steps in range(12):
             limits = replace(QUICK, late_us=0)
-            dial = asyncio.create_task(Link.open(party.address, limits, 1 if ends == "timed out" else SECOND))
+            dial = asyncio.create_task(
+                HttpConnection.open(party.address, limits, 1 if ends == "timed out" else SECOND)
+            )
             for _ in range(steps):
                 await asyncio.sleep(0)
             if ends == "cancelled":
                 dial.cancel()
             (found,) = await asyncio.gather(dial, return_exceptions=True)
-            if isinstance(found, Link):
+            if isinstance(found, HttpConnection):
                 found.close()
         await until(lambda: all(task.done() for task in party.tasks))  # each was ended from our side
 
@@ -51,19 +53,19 @@
 ) -> None:
     held = HeldDials(monkeypatch)
     async with Party(silent) as party:
-        dialer = Dialer(replace(QUICK, connect_us=40 * MS, connect_most_us=160 * MS, late_us=0))
-        dial = Link._dial
+        dialer = Dialer(replace(QUICK, connect_us=40 * MS, connect_max_us=160 * MS, late_us=0))
+        dial = HttpConnection._dial
 
-        async def slow(address: str, limits: Limits) -> Link:
+        async def slow(address: str, limits: Limits) -> HttpConnection:
             await asyncio.sleep(0.06)
             return await dial(address, limits)
 
-        Link._dial = slow  # `monkeypatch` puts it back
+        HttpConnection._dial = slow  # `monkeypatch` puts it back
         with pytest.raises(TimeoutError):
             await dialer.open(party.address)
         (await dialer.open(party.address)).close()
         assert dialer.wait_us == 80 * MS
-        Link._dial = dial
+        HttpConnection._dial = dial
         (await dialer.open(party.address)).close()
         assert dialer.wait_us == 40 * MS
         held.gates[party.address] = asyncio.Event()
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -36,7 +36,7 @@
         and launch.told.turn_every_us == 7000
     )
     assert launch.known.entries[0].backend == "s-1" and launch.limits.connections == 512
-    assert Limits.within(256).connections == 128 and Limits.within(8192).connections == 512
+    assert Limits.for_sockets(256).connections == 128 and Limits.for_sockets(8192).connections == 512
 
 
 def put(path: str, value: object) -> dict:
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lapispass.net import log
-from lapispass.net.log import KeyValue, Part, Steady
+from lapispass.net.log import KeyValueFormatter, NonBlockingHandler, PartLogger
 
 
 def record(text: str) -> logging.LogRecord:
@@ -29,7 +29,7 @@
             raise BlockingIOError
         return whole(descriptor, line[:size])
 
-    handler = Steady(writer)
+    handler = NonBlockingHandler(writer)
     monkeypatch.setattr(os, "write", write)
     for number in range(4):
         handler.emit(record(f"event {number}"))
@@ -41,7 +41,7 @@
 
 def test_lines_for_which_there_is_no_room_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
-    handler = Steady(writer)
+    handler = NonBlockingHandler(writer)
 
     def full(descriptor: int, line: bytes) -> int:
         raise BlockingIOError
@@ -57,15 +57,15 @@
 
 
 def test_a_line_tells_the_time_since_the_start_beside_the_wall_clock() -> None:
-    line = KeyValue().format(record("event"))
+    line = KeyValueFormatter().format(record("event"))
     assert line.startswith("time=") and float(line.rpartition(" up=")[2]) >= 0
 
 
 def test_a_log_line_is_key_value_and_never_waits() -> None:
     read, write = os.pipe()
     os.set_blocking(read, False)
-    handler = Steady(write)
-    handler.setFormatter(KeyValue())
+    handler = NonBlockingHandler(write)
+    handler.setFormatter(KeyValueFormatter())
     record = logging.makeLogRecord(
         {
             "name": "lapispass.news",
@@ -87,7 +87,7 @@
 
 
 def test_lines_that_a_peer_can_cause_are_few(caplog: pytest.LogCaptureFixture) -> None:
-    part = Part("some", 3_600_000_000)
+    part = PartLogger("some", 3_600_000_000)
     for _ in range(50):
         part.rate_limited("odd", why=1)
         part.rate_limited("odd", kind="rare")
@@ -107,10 +107,10 @@
     before = logging.getLogger().handlers[:]
     handler = log.start(write)
     try:
-        Part("test").say("last line")
+        PartLogger("test").say("last line")
         while filled > 0:
             filled -= len(os.read(read, 1 << 16))
-        log.write_on()
+        log.flush_pending()
         assert b'event="last line"' in os.read(read, 1 << 16)
         assert not handler.lost
     finally:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -98,8 +98,9 @@
         ready, tell = os.pipe()
         # Its own first line of code says that its handlers stand.
         code = (
-            f"import os, sys; from lapispass.net import signals; signals.ignore(); os.write({tell}, b'x'); "
-            "from lapispass.net.service import main; status = main(); signals.hold(); sys.exit(status)"
+            "import os, sys; from lapispass.net import signals; signals.ignore_all(); "
+            f"os.write({tell}, b'x'); "
+            "from lapispass.net.service import main; status = main(); signals.block_all(); sys.exit(status)"
         )
         with subprocess.Popen(
             [sys.executable, "-B", "-c", code],
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -30,7 +30,7 @@
 
 from lapispass import interface
 from lapispass.net.counters import Counters
-from lapispass.net.http import Link
+from lapispass.net.http import HttpConnection
 from lapispass.net.registry import Registry
 
 
@@ -66,7 +66,7 @@
         registry.move(book.address)
         registry.follow()
         await until(lambda: heard.count(LOST) == 2)
-        assert not registry.place.ready
+        assert not registry.place.standby
 
 
 @pytest.mark.parametrize(
@@ -187,7 +187,7 @@
         await until(lambda: new.writers)
         registry.move(old.address)
         await until(lambda: all(task.done() for task in new.tasks))
-        assert len(old.targets) == 1 and len(heard) == 1 and not registry.place.ready
+        assert len(old.targets) == 1 and len(heard) == 1 and not registry.place.standby
 
 
 async def test_bytes_that_dribble_in_and_never_make_a_line_are_no_sign_of_life() -> None:
@@ -217,7 +217,7 @@
 ) -> None:
     """All controllers of a large fleet may ask for the whole list at once: none would ever get it whole."""
     line = change(6, *({**MEMBER, "id": f"s-{n}"} for n in range(2, 60)))
-    slow = in_pieces(line, times * QUICK.watch_quiet_us / 1e6)
+    slow = in_pieces(line, times * QUICK.watch_idle_us / 1e6)
     async with (
         Book(*([*slow, b"\n", 3600.0] for _ in range(5))) as book,
         following(book, KNOWN) as (registry, heard),
@@ -259,12 +259,12 @@
         began = asyncio.get_running_loop().time()
         await until(lambda: LOST in heard)
         took_us = (asyncio.get_running_loop().time() - began) * 1e6
-        assert took_us < 4 * QUICK.watch_quiet_us, "a slow line would be given eight times"
+        assert took_us < 4 * QUICK.watch_idle_us, "a slow line would be given eight times"
 
 
 async def test_a_watch_that_only_gives_signs_of_life_is_opened_anew_before_it_is_left() -> None:
     """The list moved on elsewhere while a watch only said that it was alive: nobody ever asked again."""
-    limits = replace(QUICK, renew_us=100 * MS, renew_most_us=200 * MS)
+    limits = replace(QUICK, watch_renew_us=100 * MS, watch_renew_max_us=200 * MS)
     last = [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
     async with (
         Book([b"\n", 0.05] * 400, [503], last) as book,
@@ -280,7 +280,7 @@
 async def test_a_server_that_only_others_name_brings_the_next_call() -> None:
     async with (
         Book([b"\n", 0.05] * 400, [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]) as book,
-        following(book, KNOWN, replace(QUICK, strange_us=40 * MS)) as (registry, heard),
+        following(book, KNOWN, replace(QUICK, unlisted_us=40 * MS)) as (registry, heard),
     ):
         await until(lambda: registry.open.is_set())
         registry.named("s-1")
@@ -301,8 +301,8 @@
     heard: list[interface.Event] = []
     registry = Registry("", KNOWN._replace(version=7), heard.append, CODEC, QUICK, Counters())
     async with Book() as book:
-        link = await Link.open(book.address, QUICK)
-        link.since = since
+        link = await HttpConnection.open(book.address, QUICK)
+        link.watch_from = since
         told = CODEC.listed(listing(version, MEMBER, complete=whole))
         if taken is None:  # behind even where it was asked from: the whole list is asked for
             with pytest.raises(Exception, match="went back"):
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -179,7 +179,7 @@
 async def test_orders_that_waited_for_the_picture_are_void_for_slices_that_it_gives_anew() -> None:
     async with Relay() as relay, news_of(relay) as (news, heard):
         relay.stands[3] = ("ROW", "shard=3&endpoint=s-9&w=1")
-        news.limits = replace(QUICK, told_us=10 * SECOND, picture_us=300 * MS)
+        news.limits = replace(QUICK, snapshot_us=10 * SECOND, snapshot_gap_us=300 * MS)
         relay.signs = False
         relay.reset()
         await until(lambda: len(relay.streams) == 2 and news.picture)
@@ -255,7 +255,7 @@
             del self.later[:1]
 
     heard: list[interface.Event] = []
-    limits = replace(QUICK, told_us=200 * MS, picture_us=180 * MS)  # ten events, 100 ms apart
+    limits = replace(QUICK, snapshot_us=200 * MS, snapshot_gap_us=180 * MS)  # ten events, 100 ms apart
     async with Slow() as relay, calls_to(relay) as calls:
         relay.later, relay.stands = [], STANDS * 2
         news = News(relay.address, calls, heard.append, CODEC, limits, Counters())
@@ -330,7 +330,7 @@
         calls.doubt = lambda: doubts.append(True)
         await calls.carry_out([interface.Mark(1, True)])
         relay.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        await until(lambda: calls.link.unasked)
+        await until(lambda: calls.link.has_unrequested_data)
         await calls.carry_out([interface.Mark(2, True)])
         assert doubts == [True] and relay.done == ["SYNC,1,1", "SYNC,2,1"] and len(relay.writers) == 2
 
@@ -347,7 +347,7 @@
 
 
 async def test_counts_that_are_another_each_time_are_not_asked_for_without_a_pause() -> None:
-    limits = replace(QUICK, again_least_us=40 * MS, again_most_us=80 * MS)
+    limits = replace(QUICK, retry_min_us=40 * MS, retry_max_us=80 * MS)
     async with Relay() as relay, calls_to(relay, limits) as calls:
         relay.faults += [f"short {n % 2}" for n in range(10_000)]
         async with running(calls.carry_out([interface.Mark(n, True) for n in range(4)])):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -14,7 +14,7 @@
 from parties import CODEC, LOST, MEMBER, MET, QUICK, STANDS, TOLD, Book, Relay, change, launch, running, until
 
 from lapispass import interface
-from lapispass.net.http import Overfull
+from lapispass.net.http import InboxFull
 from lapispass.net.launch import BadStart
 from lapispass.net.service import Service
 
@@ -111,10 +111,10 @@
     )
     service.tell(interface.Left(2))
     service.tell(interface.Left(3))
-    with pytest.raises(Overfull):  # the news end, and the next ones begin with all that stands
+    with pytest.raises(InboxFull):  # the news end, and the next ones begin with all that stands
         service.news.pass_on(interface.Given(7, True))
     assert 7 not in service.calls.rows, "what was not taken in does not count as known"
-    with pytest.raises(Overfull):
+    with pytest.raises(InboxFull):
         service.registry.take(CODEC.listing(change(9, MEMBER)))
     assert service.registry.version is None
     service.tell(LOST)
@@ -147,7 +147,7 @@
             assert (len(new.writers), len(book.writers)) == connections and not new.streams[0][1].is_closing()
             await service.follow(replace(began, relay=old.address, registry=was.address))
             await until(lambda: len(old.streams) == 2 and len(was.targets) == 2)
-        assert not service.news.place.ready and not service.registry.place.ready
+        assert not service.news.place.standby and not service.registry.place.standby
 
 
 async def test_an_address_that_cannot_be_bound_is_a_bad_start() -> None:
@@ -164,7 +164,9 @@
         relay.stands, relay.answers = list(STANDS[:4]), point == "owner"
         relay.signs = point != "picture"
         limits = replace(
-            QUICK, answer_us=10 * SECOND, picture_us=10 * SECOND if point == "picture" else QUICK.picture_us
+            QUICK,
+            answer_us=10 * SECOND,
+            snapshot_gap_us=10 * SECOND if point == "picture" else QUICK.snapshot_gap_us,
         )
         relay.faults += {
             "call sent": ["held"],
@@ -176,7 +178,7 @@
         await until(
             {
                 "start": lambda: True,
-                "listening": lambda: service.collectors.server,
+                "listening": lambda: service.collectors.acceptor,
                 "picture": lambda: service.news.picture,
                 "call sent": lambda: relay.calls,
                 "call unsettled": lambda: service.counters["relay.unknown"] > 1,
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -195,11 +195,11 @@
     async with listening(LIMITS) as (collectors, _, connect):
         for _ in range(ZONES):
             await connect()
-        await until(lambda: sum(guest.zone is not None for guest in collectors.open) == ZONES)
+        await until(lambda: sum(guest.zone is not None for guest in collectors.connections) == ZONES)
         for _ in range(LIMITS.connections):
             await connect(b"")
         await until(lambda: collectors.counters["collectors.opened"] == ZONES + LIMITS.connections)
-        assert sum(guest.zone is not None for guest in collectors.open) == ZONES
+        assert sum(guest.zone is not None for guest in collectors.connections) == ZONES
 
 
 def test_an_operator_file_of_the_target_is_read_and_its_findings_named(tmp_path: Path) -> None:
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -21,7 +21,7 @@
 from lapispass.core.tables import slice_of
 from lapispass.lab import drops
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile
 from lapispass.rules.held import Breach
@@ -162,7 +162,7 @@
 
     async def test() -> None:
         server = ClosingServer([], config=Configuration())
-        address = await server.listen("127.0.0.1:0", None, Part("xds"), Counters())
+        address = await server.listen("127.0.0.1:0", None, PartLogger("xds"), Counters())
         host, _, port = address.rpartition(":")
         with socket.create_connection((host, int(port))) as client:
             for _ in range(rounds):
