--- a/tests/faulty_process.py
+++ b/tests/faulty_process.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from tempfile import mkdtemp
 
-from parties import Book, Party, Relay
+from parties import LoopbackServer, RegistryServer, RelayServer
 
 SHIM = Path(__file__).with_name("fault_shim.c")
 SHORT = 10000  # a transfer of one byte, in place of an errno
@@ -280,8 +280,8 @@
     faults: Faults | None = None,
     settings: Mapping[str, object] = SETTINGS,
     members: Sequence[object] = (),
-    relay: Relay | None = None,
-    book: Party | None = None,
+    relay: RelayServer | None = None,
+    book: LoopbackServer | None = None,
     environment: Mapping[str, str] | None = None,
     address: tuple[str, int] | None = None,
     limits: Mapping[str, int] | None = None,
@@ -293,7 +293,7 @@
     """
     faults = faults or Faults(folder / "faults")
     address = address or free_address()
-    async with relay or Relay() as store, book or Book() as registry:
+    async with relay or RelayServer() as store, book or RegistryServer() as registry:
         config = {
             "name": "n",
             "listen": "{}:{}".format(*address),
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -52,12 +52,12 @@
     linger_us=50 * MS,
     bind_us=60 * MS,
 )
-TOLD = deployment(
+SMALL_DEPLOYMENT = deployment(
     zones=("a", "b"), slices=12, proxies=4, lease_us=150 * MS, linger_us=60 * MS, messages_most=1000
 )
-CODEC = Codec(TOLD, 256)
+CODEC = Codec(SMALL_DEPLOYMENT, 256)
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "Ready", "size": 1.0}
-NOTHING = Listing(0, False, (), {}, 0)
+EMPTY_LISTING = Listing(0, False, (), {}, 0)
 
 
 class HeldDials:
@@ -80,13 +80,13 @@
         monkeypatch.setattr(HttpConnection, "_dial", late)
 
 
-class Party:
-    """A server on loopback; `meet` is the life of a connection, after which it is closed or reset."""
+class LoopbackServer:
+    """A server on loopback. `serve_connection` handles a connection, which is closed or reset afterwards."""
 
-    def __init__(self, meet: Callable[..., Coroutine[Any, Any, Any]]) -> None:
-        self.meet, self.writers, self.tasks = meet, [], []
+    def __init__(self, serve_connection: Callable[..., Coroutine[Any, Any, Any]]) -> None:
+        self.serve_connection, self.writers, self.tasks = serve_connection, [], []
 
-    async def __aenter__(self) -> Party:
+    async def __aenter__(self) -> LoopbackServer:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -101,7 +101,7 @@
         self.writers.append(writer)
         self.tasks.append(asyncio.current_task())
         try:
-            if await self.meet(reader, writer) == "reset":
+            if await self.serve_connection(reader, writer) == "reset":
                 writer.transport.abort()
         except (OSError, EOFError, h11.ProtocolError, asyncio.CancelledError):
             pass  # it has ended, or was ended by us with the test
@@ -118,7 +118,7 @@
     await reader.read()
 
 
-async def asked(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes] | None:
+async def next_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes] | None:
     """A whole request, or None at the end."""
     head, body = None, b""
     while True:
@@ -135,42 +135,47 @@
             return None
 
 
-async def request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
+async def read_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
     """A whole request; an EOFError where the connection ends before it has asked."""
-    if (told := await asked(reader, state)) is None:
+    if (told := await next_request(reader, state)) is None:
         raise EOFError
     return told
 
 
-def answered(state: h11.Connection, status: int, body: bytes | None) -> bytes:
+def response_bytes(state: h11.Connection, status: int, body: bytes | None) -> bytes:
     length = ("Transfer-Encoding", "chunked") if body is None else ("Content-Length", str(len(body)))
     out = state.send(h11.Response(status_code=status, headers=[length]))
     return out if body is None else out + state.send(h11.Data(data=body)) + state.send(h11.EndOfMessage())
 
 
-class Relay(Party):
+class RelayServer(LoopbackServer):
     """Holds the proxies' streams and the store; what goes wrong with the next calls stands in `faults`."""
 
     def __init__(self) -> None:
         super().__init__(self.relay)
         self.faults: deque[str] = deque()
-        self.stands: list[tuple[str, str]] = []
-        self.done: list[str] = []  # orders carried out
+        self.snapshot: list[tuple[str, str]] = []
+        self.orders_done: list[str] = []  # orders carried out
         self.calls: list[list[str]] = []
         self.streams: list[tuple[h11.Connection, asyncio.StreamWriter]] = []
-        self.written_after, self.answers, self.signs, self.held = b"", False, True, asyncio.Event()
+        self.written_after, self.acknowledges, self.sends_heartbeats, self.held = (
+            b"",
+            False,
+            True,
+            asyncio.Event(),
+        )
 
     async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        while (request := await asked(reader, state)) is not None:
+        while (request := await next_request(reader, state)) is not None:
             method, target, body = request
             if (method, target) == ("GET", "/events"):
-                writer.write(answered(state, 200, None))
+                writer.write(response_bytes(state, 200, None))
                 self.streams.append((state, writer))
-                for kind, data in self.standing():
-                    self.say(kind, data, len(self.streams) - 1)
+                for kind, data in self.snapshot_lines():
+                    self.send_event(kind, data, len(self.streams) - 1)
                 while not reader.at_eof():
-                    self.sign(state, writer)
+                    self.send_heartbeat(state, writer)
                     try:
                         self.written_after += await asyncio.wait_for(reader.read(1), 0.1)
                     except TimeoutError:
@@ -188,7 +193,9 @@
                 return await self.end(fault)
             if fault == "throttled" or (fault == "picky" and any("bad" in text for text in orders)):
                 word = "invalid" if fault == "picky" else fault
-                writer.write(answered(state, 400, f"<Response><error>{word}</error></Response>".encode()))
+                writer.write(
+                    response_bytes(state, 400, f"<Response><error>{word}</error></Response>".encode())
+                )
             else:
                 count = int(fault[6:]) if fault.startswith("short") else len(orders)
                 self.carry_out(orders[:count])
@@ -196,14 +203,16 @@
                     return await self.end(fault)
                 count = fault[11:] if fault.startswith("miscounted") else count
                 answer = f"<Response><entries><item><ok_count>{count}</ok_count></item></entries></Response>"
-                writer.write(answered(state, 200, b"<odd" if fault == "unreadable" else answer.encode()))
+                writer.write(
+                    response_bytes(state, 200, b"<odd" if fault == "unreadable" else answer.encode())
+                )
             if fault == "close":
                 return "reset"
             state.start_next_cycle()
         return None
 
-    def sign(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
-        if self.signs:
+    def send_heartbeat(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
+        if self.sends_heartbeats:
             writer.write(state.send(h11.Data(data=b":\n")))
 
     async def end(self, fault: str) -> str:
@@ -211,22 +220,22 @@
             await asyncio.sleep(3600)
         return "reset"
 
-    def standing(self) -> list[tuple[str, str]]:
-        return self.stands
+    def snapshot_lines(self) -> list[tuple[str, str]]:
+        return self.snapshot
 
     def carry_out(self, orders: list[str]) -> None:
-        self.done += orders
-        for mark in [text.split(",")[1] for text in orders if text.startswith("SYNC") and self.answers]:
-            for node in [data.partition("&")[0] for kind, data in self.stands if kind == "SUBSCRIBE"]:
-                self.say("ACK", f"{node}&nonce={mark}&latency=5.0")
+        self.orders_done += orders
+        for mark in [text.split(",")[1] for text in orders if text.startswith("SYNC") and self.acknowledges]:
+            for node in [data.partition("&")[0] for kind, data in self.snapshot if kind == "SUBSCRIBE"]:
+                self.send_event("ACK", f"{node}&nonce={mark}&latency=5.0")
 
-    def say(self, kind: str, data: str, stream: int = -1) -> None:
+    def send_event(self, kind: str, data: str, stream: int = -1) -> None:
         state, writer = self.streams[stream]
         writer.write(state.send(h11.Data(data=f"event: {kind}\r\ndata: {data}\r\n\r\n".encode())))
 
 
 @asynccontextmanager
-async def calls_to(relay: Party, limits: Limits = QUICK):
+async def calls_to(relay: LoopbackServer, limits: Limits = QUICK):
     """A client of the relay's calls."""
     calls = Calls(relay.address, CODEC, limits, Counters())
     try:
@@ -235,14 +244,14 @@
         calls.close()
 
 
-STANDS = [
+SNAPSHOT_LINES = [
     ("SUBSCRIBE", "node=0&locality=a&w=1&cold=1"),
     ("SUBSCRIBE", "node=1&locality=a&w=1&cold=0"),
     ("GRANT", "shard=3&set=1"),
     ("ROW", "shard=3&endpoint=s-1&w=1.0"),
     ("GRANT", "shard=4&set=1"),
 ]
-PICTURE = [
+SNAPSHOT_EVENTS = [
     interface.Joined(0, True, "a", 1.0),
     interface.Joined(1, False, "a", 1.0),
     interface.Given(3, True),
@@ -252,14 +261,14 @@
 
 
 @asynccontextmanager
-async def news_of(relay: Relay):
+async def events_of(relay: RelayServer):
     heard: list[interface.Event] = []
-    relay.stands = list(STANDS)
+    relay.snapshot = list(SNAPSHOT_LINES)
     calls = Calls(relay.address, CODEC, QUICK, Counters())
     news = News(relay.address, calls, heard.append, CODEC, QUICK, Counters())
     async with running(news.run()):
         await until(lambda: len(heard) >= 5)
-        assert heard == PICTURE
+        assert heard == SNAPSHOT_EVENTS
         heard.clear()
         try:
             yield news, heard
@@ -267,7 +276,7 @@
             calls.close()
 
 
-class Book(Party):
+class RegistryServer(LoopbackServer):
     """The registry: the whole list, and one behaviour for each watch in turn."""
 
     def __init__(self, *watches: list[bytes | float | int | str]) -> None:
@@ -276,18 +285,18 @@
 
     async def book(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        _, target, _ = await request(reader, state)
+        _, target, _ = await read_request(reader, state)
         self.targets.append(target)
         if target == "/registry/instances":
-            writer.write(answered(state, 200, json.dumps(listing(9, MEMBER)).encode()))
+            writer.write(response_bytes(state, 200, json.dumps(listing(9, MEMBER)).encode()))
             return None
         steps = self.watches.popleft() if self.watches else [b"\n", 3600.0]
         if steps[0] == 503:
-            writer.write(answered(state, 503, b"busy"))
+            writer.write(response_bytes(state, 503, b"busy"))
             return None
         if steps[0] == "reset":
             return "reset"
-        writer.write(answered(state, 200, None))
+        writer.write(response_bytes(state, 200, None))
         for step in steps:
             if isinstance(step, float):
                 await asyncio.sleep(step)
@@ -302,7 +311,7 @@
 
 
 @asynccontextmanager
-async def following(book: Party, known: Listing = NOTHING, limits: Limits = QUICK):
+async def following(book: LoopbackServer, known: Listing = EMPTY_LISTING, limits: Limits = QUICK):
     """A registry client that has been asked to follow, and what it tells."""
     heard: list[interface.Event] = []
     registry = Registry(book.address, known, heard.append, CODEC, limits, Counters())
@@ -317,9 +326,9 @@
 
 
 JOIN = b"SOURCE locality=a\r\n"
-LINE = b"LOAD locality=a endpoint=s-1 total=2 errors=1 rtt=41.7 interval=1000.0\r\n"
-SPOILT = b"LOAD total=x\r\nSHARD shard=3\r\nLOAD" + LINE[4:].replace(b"=a", b"=1e+30")
-MET = interface.Met("s-1", "a", 1, 2, 41700, 1_000_000, None)
+LOAD_LINE = b"LOAD locality=a endpoint=s-1 total=2 errors=1 rtt=41.7 interval=1000.0\r\n"
+MALFORMED_REPORTS = b"LOAD total=x\r\nSHARD shard=3\r\nLOAD" + LOAD_LINE[4:].replace(b"=a", b"=1e+30")
+LOAD_REPORT = interface.Met("s-1", "a", 1, 2, 41700, 1_000_000, None)
 
 
 @asynccontextmanager
@@ -347,7 +356,7 @@
         await until(lambda: not collectors.tasks)
 
 
-async def rest(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """What is still said until the connection is closed or reset."""
     said = b""
     try:
@@ -366,7 +375,7 @@
         relay=relay,
         seed=1,
         known=CODEC.listed(listing(1, *({**MEMBER, "id": f"s-{n}"} for n in (1, 2)))),
-        told=replace(TOLD, may_probe=False, asks_for_list=True),
+        told=replace(SMALL_DEPLOYMENT, may_probe=False, asks_for_list=True),
         limits=QUICK,
     )
     return Launch(**{**values, **changes})
--- a/tests/rule_world.py
+++ b/tests/rule_world.py
@@ -8,7 +8,7 @@
 
 import h11
 from configurations import listing
-from parties import MEMBER, TOLD, Party, Relay, answered, request, until
+from parties import MEMBER, SMALL_DEPLOYMENT, LoopbackServer, RelayServer, read_request, response_bytes, until
 
 RELAY_FAULTS = ("reset before", "reset after", "silent after", "unreadable", "close", "throttled")
 
@@ -21,7 +21,7 @@
         self.out: set[str] = set()
 
 
-class World(Relay):
+class World(RelayServer):
     """Proxies that take orders late and in order, break off and come back; writes are watched by slice."""
 
     def __init__(self, seed: int, slices: int, proxies: int) -> None:
@@ -35,7 +35,7 @@
         for node in range(proxies):
             self.join(node)
 
-    def standing(self) -> list[tuple[str, str]]:
+    def snapshot_lines(self) -> list[tuple[str, str]]:
         stands = [
             ("SUBSCRIBE", f"node={n}&locality=a&w=1&cold=0") for n, p in enumerate(self.proxies) if p.joined
         ]
@@ -46,7 +46,7 @@
 
     def tell(self, kind: str, data: str) -> None:
         if self.streams and not self.streams[-1][1].is_closing():
-            self.say(kind, data)
+            self.send_event(kind, data)
 
     def join(self, node: int) -> None:
         proxy = self.proxies[node]
@@ -67,7 +67,7 @@
             self.join(node)
 
     def carry_out(self, orders: list[str]) -> None:
-        self.done += orders
+        self.orders_done += orders
         for text in orders:
             self.moves += text.startswith("SET")
             changed(self.store, set(), text)
@@ -91,7 +91,7 @@
         """Rule 2: a slice's writes are never with two owners, nor while an earlier one may hold some."""
         now = self.loop.time()
         for proxy in self.proxies:
-            until_ = now if proxy.joined else min(now, proxy.broken_at + TOLD.lease_us / 1e6)
+            until_ = now if proxy.joined else min(now, proxy.broken_at + SMALL_DEPLOYMENT.lease_us / 1e6)
             for number, (owner, open_) in proxy.tables.items():
                 if owner and open_ and owner not in proxy.out:
                     self.last[number, owner] = max(self.last.get((number, owner), 0), until_)
@@ -99,7 +99,7 @@
             lately = [
                 owner
                 for (n, owner), at in self.last.items()
-                if n == number and at > now - TOLD.linger_us / 1e6
+                if n == number and at > now - SMALL_DEPLOYMENT.linger_us / 1e6
             ]
             if len(lately) > 1:
                 self.broken.append(f"writes of slice {number} with {lately}")
@@ -123,7 +123,7 @@
     return ""
 
 
-class Roll(Party):
+class Roll(LoopbackServer):
     """A registry that says what stands, whatever version is asked for."""
 
     def __init__(self) -> None:
@@ -134,8 +134,8 @@
 
     async def roll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state, told = h11.Connection(h11.SERVER), 0
-        await request(reader, state)
-        writer.write(answered(state, 200, None))
+        await read_request(reader, state)
+        writer.write(response_bytes(state, 200, None))
         while not writer.is_closing():
             text = json.dumps(listing(self.version, *self.members.values())) if told != self.version else ""
             told = self.version
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -10,7 +10,17 @@
 import pytest
 from async_tests import ended
 from fleet import SECOND
-from parties import CODEC, JOIN, LINE, MET, QUICK, SPOILT, listening, rest, until
+from parties import (
+    CODEC,
+    JOIN,
+    LOAD_LINE,
+    LOAD_REPORT,
+    MALFORMED_REPORTS,
+    QUICK,
+    listening,
+    read_to_end,
+    until,
+)
 
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
@@ -18,11 +28,11 @@
 
 async def test_reports_come_in_pieces_or_many_at_once_and_are_never_answered() -> None:
     async with listening() as (_, heard, connect):
-        reader, writer = await connect(JOIN + LINE[:7])
+        reader, writer = await connect(JOIN + LOAD_LINE[:7])
         await asyncio.sleep(2 * QUICK.join_us / 1e6)  # who has joined may be silent
-        writer.write(LINE[7:] + LINE * 5000 + b"LATER kind=odd\r\n")
+        writer.write(LOAD_LINE[7:] + LOAD_LINE * 5000 + b"LATER kind=odd\r\n")
         await until(lambda: len(heard) == 5001)
-        assert set(heard) == {MET}
+        assert set(heard) == {LOAD_REPORT}
         writer.write(b"PING\r\n")
         assert await reader.readexactly(6) == b"PONG\r\n"
         writer.close()
@@ -37,7 +47,7 @@
         b"x" * 9000,
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         b"\x16\x03\x01",
-        LINE,
+        LOAD_LINE,
         b"$-1\r\n",
         b"SET,4,s-1,1\r\n",
         b"SOURCE locality=nowhere\r\n",
@@ -49,9 +59,9 @@
     async with listening(replace(QUICK, message_bytes=8000)) as (collectors, heard, connect):
         _, good = await connect()
         reader, bad = await connect(said)
-        assert await rest(reader) in (b"NACK why=unreadable\r\n", b"")  # a reset may overtake it
-        good.write(LINE)
-        await until(lambda: heard == [MET])
+        assert await read_to_end(reader) in (b"NACK why=unreadable\r\n", b"")  # a reset may overtake it
+        good.write(LOAD_LINE)
+        await until(lambda: heard == [LOAD_REPORT])
         assert collectors.counters["collectors.turned_away"] == 1 and len(collectors.connections) == 1
         bad.close()
         good.close()
@@ -81,7 +91,7 @@
         asking = [asyncio.create_task(ask()) for _ in range(6)]
         await until(lambda: collectors.counters["collectors.pings"] > 60)
         assert len(collectors.connections) == 6
-        await connect(JOIN + LINE)
+        await connect(JOIN + LOAD_LINE)
         await until(lambda: heard)
         assert collectors.counters["collectors.crowded_out"] == 1
         await ended(*asking)
@@ -101,33 +111,33 @@
         for reader, writer in begun:
             writer.write(b"NG\r\n")
             assert await reader.readexactly(6) == b"PONG\r\n"
-        assert [await rest(reader) for reader, _ in idle] == [b"", b""]
+        assert [await read_to_end(reader) for reader, _ in idle] == [b"", b""]
         assert collectors.counters["collectors.crowded_out"] == 2
 
 
 async def test_spoilt_reports_cost_only_themselves_and_a_stream_that_stays_spoilt_is_ended() -> None:
     # A collector was cut off for every 20 spoilt reports of a day, and with it the sound ones on their way.
     async with listening() as (collectors, heard, connect):
-        for bad in (SPOILT * 9, b"\xff" + LINE * 3 + b"\x00"):
+        for bad in (MALFORMED_REPORTS * 9, b"\xff" + LOAD_LINE * 3 + b"\x00"):
             reader, writer = await connect()
-            writer.write((SPOILT + LINE) * 40 + bad + LINE)
-            assert await rest(reader) == b"", "a collector is never written to"
+            writer.write((MALFORMED_REPORTS + LOAD_LINE) * 40 + bad + LOAD_LINE)
+            assert await read_to_end(reader) == b"", "a collector is never written to"
             writer.close()
         await until(lambda: not collectors.connections)
         # The first stray byte spoils one report; the second shows that there is no wire any more.
-        assert heard == [MET] * 82 and collectors.counters["collectors.turned_away"] == 2
+        assert heard == [LOAD_REPORT] * 82 and collectors.counters["collectors.turned_away"] == 2
         assert collectors.counters["collectors.unreadable"] == 40 * 6 + QUICK.unreadable_lines + 1 + 1
 
 
 async def test_strangers_that_come_by_hundreds_do_not_keep_collectors_out() -> None:
     limits = replace(QUICK, connections=6, accept_batch=2, join_us=20 * SECOND)
     async with listening(limits) as (collectors, heard, connect):
-        _, good = await connect(JOIN + LINE)
+        _, good = await connect(JOIN + LOAD_LINE)
         await until(lambda: heard)
         strangers = [await connect(b"") for _ in range(200)]
-        _, late = await connect(JOIN + LINE)
+        _, late = await connect(JOIN + LOAD_LINE)
         await until(lambda: len(heard) == 2 and collectors.counters["collectors.opened"] == 202)
-        good.write(LINE)
+        good.write(LOAD_LINE)
         await until(lambda: len(heard) == 3)
         assert len(collectors.connections) <= 6
         for _, writer in [*strangers, (None, good), (None, late)]:
@@ -138,8 +148,8 @@
     async with listening() as (collectors, _, connect):
         collectors.tell = lambda event: 1 // 0
         reader, writer = await connect()
-        writer.write(LINE)
-        assert await rest(reader) == b""
+        writer.write(LOAD_LINE)
+        assert await read_to_end(reader) == b""
         assert "ZeroDivisionError" in caplog.text
         reader, writer = await connect()
         writer.write(b"PING\r\n")
@@ -180,7 +190,7 @@
 
 async def test_a_connection_crowded_out_in_the_instant_in_which_it_joins_does_not_count() -> None:
     async with listening(replace(QUICK, connections=2, join_us=20 * SECOND)) as (collectors, heard, connect):
-        _, good = await connect(JOIN + LINE)
+        _, good = await connect(JOIN + LOAD_LINE)
         await until(lambda: heard)
         await connect(b"")
         await until(lambda: len(collectors.connections) == 2)
@@ -188,7 +198,7 @@
         collectors.evict(quiet)
         collectors.handle_line(memoryview(JOIN.strip()), quiet)  # its line had been read
         assert quiet not in collectors.connections and len(collectors.connections) == 1
-        good.write(LINE)
+        good.write(LOAD_LINE)
         await until(lambda: len(heard) == 2)
 
 
@@ -200,7 +210,7 @@
     server = await asyncio.start_server(collectors.serve, "127.0.0.1", 0)  # as one taken just before
     port = server.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    assert await rest(reader) == b"" and not collectors.tasks and not collectors.connections
+    assert await read_to_end(reader) == b"" and not collectors.tasks and not collectors.connections
     writer.transport.abort()
     server.close()
 
@@ -220,7 +230,7 @@
         async def reports() -> None:
             _, writer = await connect()
             while flooding:
-                writer.write(LINE * 500)
+                writer.write(LOAD_LINE * 500)
                 await writer.drain()
                 await asyncio.sleep(0.002)
 
@@ -232,7 +242,7 @@
             assert await asyncio.wait_for(reader.readexactly(6), 2) == b"PONG\r\n"
             waits.append(time.monotonic() - began)
             writer.transport.abort()
-            good.write(LINE.replace(b"s-1", b"s-9"))
+            good.write(LOAD_LINE.replace(b"s-1", b"s-9"))
             seen = len(heard)
             await until(lambda seen=seen: any(event.backend == "s-9" for event in heard[seen:]))
         flooding = False
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -10,7 +10,20 @@
 from hypothesis import given
 from hypothesis import settings as drawing
 from hypothesis import strategies as some
-from parties import CODEC, JOIN, KNOWN, LINE, LOST, MEMBER, MET, PICTURE, QUICK, STANDS, change, play
+from parties import (
+    CODEC,
+    JOIN,
+    KNOWN,
+    LOAD_LINE,
+    LOAD_REPORT,
+    LOST,
+    MEMBER,
+    QUICK,
+    SNAPSHOT_EVENTS,
+    SNAPSHOT_LINES,
+    change,
+    play,
+)
 
 from lapispass import interface
 from lapispass.net.collectors import Collectors
@@ -59,14 +72,14 @@
 
 
 NEWS = (
-    b"".join(event(*stands) for stands in STANDS)
+    b"".join(event(*stands) for stands in SNAPSHOT_LINES)
     + b":\r\n"
     + event("ACK", "node=1&nonce=9&latency=2.5")
     + event("CLOSED", "node=1")
     + b":\r\n"
     + event("GRANT", "shard=4&set=0")
 )
-HEARD = [*PICTURE, interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
+HEARD = [*SNAPSHOT_EVENTS, interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
 
 
 async def news_heard(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
@@ -84,9 +97,12 @@
     for place in range(len(NEWS) + 1):
         pieces = [NEWS[:place]] if place else []
         heard, _ = await news_heard(pieces, ConnectionResetError() if place % 2 else b"")
-        assert heard == HEARD[: len(heard)] and len(heard) in (0, *range(len(PICTURE), len(HEARD) + 1))
+        assert heard == HEARD[: len(heard)] and len(heard) in (
+            0,
+            *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1),
+        )
         seen.add(len(heard))
-    assert seen == {0, *range(len(PICTURE), len(HEARD) + 1)}, "half a picture tells nothing"
+    assert seen == {0, *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1)}, "half a picture tells nothing"
 
 
 @drawn
@@ -166,7 +182,7 @@
         return self.transport.aborted
 
 
-REPORTS = b"PING\r\n" + JOIN + LINE + b"PING\r\n" + LINE * 2 + b"LATER kind=odd\r\n" + LINE
+REPORTS = b"PING\r\n" + JOIN + LOAD_LINE + b"PING\r\n" + LOAD_LINE * 2 + b"LATER kind=odd\r\n" + LOAD_LINE
 
 
 @drawn
@@ -188,9 +204,9 @@
         reader.feed_eof()
         await life
         lines = said.split(b"\n")[:-1]
-        assert heard == [MET] * lines.count(LINE[:-1]) and writer.transport.said == b"PONG\r\n" * lines.count(
-            b"PING\r"
-        )
+        assert heard == [LOAD_REPORT] * lines.count(
+            LOAD_LINE[:-1]
+        ) and writer.transport.said == b"PONG\r\n" * lines.count(b"PING\r")
         assert writer.transport.aborted and not collectors.connections and not collectors.tasks
 
     play(test())
--- a/tests/test_fault_rules.py
+++ b/tests/test_fault_rules.py
@@ -10,7 +10,7 @@
 
 import pytest
 from faulty_process import SHORT, Call, Controller, controller
-from parties import MEMBER, TOLD
+from parties import MEMBER, SMALL_DEPLOYMENT
 from rule_world import RELAY_FAULTS, Roll, World, comes_right
 
 SLICES, PROXIES = 8, 4
@@ -29,8 +29,8 @@
         "one-owner": True,
         "class-writes": [False, True],
         "admit": "fraction",
-        "lease-us": TOLD.lease_us,
-        "lingers-us": TOLD.linger_us,
+        "lease-us": SMALL_DEPLOYMENT.lease_us,
+        "lingers-us": SMALL_DEPLOYMENT.linger_us,
         "blackhole-us": 14_000_000,
         "lines-per-s": 9000.0,
         "fixed-cost": 12.0,
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from parties import Party
+from parties import LoopbackServer
 from support_gate import MS, QUICK, World, take_upgrade, until, world
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, InvalidStatus
@@ -315,7 +315,7 @@
             await board.close()
 
 
-def at(party: Party) -> CounterNode:
+def at(party: LoopbackServer) -> CounterNode:
     """The node that a gate finds at a party's address."""
     node = CounterNode("n0")
     node.address = party.address
@@ -340,7 +340,7 @@
             await asyncio.sleep(5)  # never answers
         writer.write(answer or b"")
 
-    async with Party(meet) as node, world(tmp_path, nodes={"n0": at(node)}) as stand:
+    async with LoopbackServer(meet) as node, world(tmp_path, nodes={"n0": at(node)}) as stand:
         told = await asyncio.wait_for(ask(stand, UPGRADE), 2)
         assert told.startswith("HTTP/1.1 503") and "Retry-After" in told
         assert not stand.gate.steering.coming
@@ -361,7 +361,7 @@
             await life(reader, writer)
 
         async with (
-            Party(meet) as node,
+            LoopbackServer(meet) as node,
             world(tmp_path, nodes={"n0": at(node)}) as stand,
             connect(stand.url("/till?key=a")) as till,
         ):
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from faulty_process import SHORT, Call, Faults, free_address, names, process
-from parties import Party
+from parties import LoopbackServer
 from support_gate import QUICK, world
 
 UPGRADE = (
@@ -41,7 +41,7 @@
     # They were cut three seconds later, without a word.
     faults, address = Faults(tmp_path / "faults"), free_address()
     file = tmp_path / "operator.textproto"
-    async with Party(silent) as node:
+    async with LoopbackServer(silent) as node:
         file.write_text(FILE.format(listen="{}:{}".format(*address), node=node.address))
         async with process(("gate", "-o", str(file)), faults, address, "event=listening", {}) as gate:
             reader, writer = await gate.connect()
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 from async_tests import ended
-from parties import Party
+from parties import LoopbackServer
 from support_gate import MS, QUICK, TOLD, Fleet, fleet, take_upgrade, until
 from websockets.asyncio.client import ClientConnection, connect
 from websockets.exceptions import ConnectionClosed
@@ -211,7 +211,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     async with (
-        Party(stall) as silent,
+        LoopbackServer(stall) as silent,
         fleet(tmp_path, 3, limits=replace(QUICK, ping_us=60_000 * MS)) as stand,
     ):
         key = key_at(stand, "n0")
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -8,7 +8,7 @@
 
 import pytest
 from fleet import MS, SECOND
-from parties import QUICK, HeldDials, Party, silent, until
+from parties import QUICK, HeldDials, LoopbackServer, silent, until
 
 from lapispass.net.http import Dialer, HttpConnection, within
 from lapispass.net.limits import Limits
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("ends", ["cancelled", "timed out"])
 async def test_a_dial_that_ends_after_any_number_of_steps_leaves_no_connection(ends: str) -> None:
-    async with Party(silent) as party:
+    async with LoopbackServer(silent) as party:
         for steps in range(12):
             limits = replace(QUICK, late_us=0)
             dial = asyncio.create_task(
@@ -52,7 +52,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = HeldDials(monkeypatch)
-    async with Party(silent) as party:
+    async with LoopbackServer(silent) as party:
         dialer = Dialer(replace(QUICK, connect_us=40 * MS, connect_max_us=160 * MS, late_us=0))
         dial = HttpConnection._dial
 
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -12,7 +12,7 @@
 
 import h11
 import pytest
-from parties import CODEC, QUICK, Party, answered, request, until
+from parties import CODEC, QUICK, LoopbackServer, read_request, response_bytes, until
 
 from lapispass import interface
 from lapispass.net.counters import Counters
@@ -40,8 +40,8 @@
 
 async def healthy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     state = h11.Connection(h11.SERVER)
-    await request(reader, state)
-    writer.write(answered(state, 200, b""))
+    await read_request(reader, state)
+    writer.write(response_bytes(state, 200, b""))
 
 
 async def probe(address: str) -> list[interface.Probed]:
@@ -57,7 +57,7 @@
 ) -> None:
     # One probe that found no free port passed for a refused connection, which ends a server that drains.
     dials, found = Dials(monkeypatch), {}
-    async with Party(healthy) as server:
+    async with LoopbackServer(healthy) as server:
         for error in (*LOCAL, *ROUTE):
             dials.left, dials.error = 2, error
             found[errno.errorcode[error], "for a moment"] = [
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -10,7 +10,18 @@
 from async_tests import ended
 from configurations import listing
 from fleet import MS, SECOND, deployment
-from parties import CODEC, KNOWN, MEMBER, QUICK, HeldDials, Party, answered, request, silent, until
+from parties import (
+    CODEC,
+    KNOWN,
+    MEMBER,
+    QUICK,
+    HeldDials,
+    LoopbackServer,
+    read_request,
+    response_bytes,
+    silent,
+    until,
+)
 
 from lapispass import interface
 from lapispass.net.codec import Codec
@@ -26,17 +37,17 @@
 async def test_what_a_probe_found_is_told_apart(behaviour: int | str, reason: int) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        assert (await request(reader, state))[:2] == ("GET", "/stats")
+        assert (await read_request(reader, state))[:2] == ("GET", "/stats")
         if behaviour == "silent":
             await asyncio.sleep(3600)
         if behaviour in ("reset", "odd"):
             writer.write(b"HTTP/9 odd\r\n\r\n" if behaviour == "odd" else b"")
             return "reset"
-        writer.write(answered(state, behaviour, b"inflight=7,queue=2,util=0.61"))
+        writer.write(response_bytes(state, behaviour, b"inflight=7,queue=2,util=0.61"))
 
     heard: list[interface.Probed] = []
     codec = Codec(deployment(load_fields=("waiting", "busy")), 256)
-    async with Party(serve) as server:
+    async with LoopbackServer(serve) as server:
         address = {"refused": "127.0.0.1:1", "no address": "nowhere"}.get(str(behaviour), server.address)
         probes = Probes(heard.append, codec, QUICK, Counters())
         probes.start("s-1", address)
@@ -51,11 +62,11 @@
 
     async def well(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
-        await request(reader, state)
-        writer.write(answered(state, 200, b""))
+        await read_request(reader, state)
+        writer.write(response_bytes(state, 200, b""))
 
     heard: list[interface.Probed] = []
-    async with Party(silent) as mute, Party(well) as good:
+    async with LoopbackServer(silent) as mute, LoopbackServer(well) as good:
         counters = Counters()
         probes = Probes(heard.append, CODEC, replace(QUICK, probes=3, probe_us=40 * MS), counters)
         for number in range(12):
@@ -77,13 +88,13 @@
 
     async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
-        await request(reader, state)
+        await read_request(reader, state)
         answering.append(writer)
         await answer.wait()
-        writer.write(answered(state, 200, b""))
+        writer.write(response_bytes(state, 200, b""))
 
     heard: list[interface.Event] = []
-    async with Party(late) as server:
+    async with LoopbackServer(late) as server:
         probes = Probes(heard.append, CODEC, replace(QUICK, probe_us=10 * SECOND), Counters())
         registry = Registry("", KNOWN, heard.append, CODEC, QUICK, Counters(), probes.forget)
 
@@ -123,7 +134,7 @@
 
 async def test_probes_that_are_ended_begin_no_further_ones() -> None:
     heard: list[interface.Event] = []
-    async with Party(silent) as mute:
+    async with LoopbackServer(silent) as mute:
         probes = Probes(heard.append, CODEC, replace(QUICK, probes=2, probe_us=10 * SECOND), Counters())
         for number in range(6):
             probes.start(f"s-{number}", mute.address)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,7 +15,7 @@
 import h11
 import pytest
 from configurations import GRADES, listing, written
-from parties import MEMBER, Party, Relay, answered, asked, silent
+from parties import MEMBER, LoopbackServer, RelayServer, next_request, response_bytes, silent
 
 COMMAND = [sys.executable, "-B", "-m", "lapispass"]
 CONFIG = {
@@ -122,14 +122,14 @@
     """5,700 servers known, 5,000 proxies and 15,000 slices in what stands, the registry silent."""
     proxies, slices, servers = 5000, 15_000, 5700
 
-    class Large(Relay):
+    class Large(RelayServer):
         async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
             state = h11.Connection(h11.SERVER)
-            if (request := await asked(reader, state)) is None:
+            if (request := await next_request(reader, state)) is None:
                 return None  # it ended before it asked
             if request[0] == "POST":
                 await reader.read()
-            writer.write(answered(state, 200, None))
+            writer.write(response_bytes(state, 200, None))
             text = "".join(
                 [f"event: SUBSCRIBE\ndata: node={n}&locality=a&w=1&cold=0\n\n" for n in range(proxies)]
                 + [
@@ -149,7 +149,7 @@
                     pass
             return None
 
-    async with Large() as relay, Party(silent) as registry:
+    async with Large() as relay, LoopbackServer(silent) as registry:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             listen = f"127.0.0.1:{free.getsockname()[1]}"
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -17,13 +17,13 @@
     MEMBER,
     QUICK,
     S1,
-    Book,
     HeldDials,
-    Party,
-    answered,
+    LoopbackServer,
+    RegistryServer,
     change,
     following,
-    request,
+    read_request,
+    response_bytes,
     silent,
     until,
 )
@@ -36,7 +36,7 @@
 
 async def test_with_nothing_to_go_on_from_the_list_comes_first_then_the_watch_from_its_version() -> None:
     spoken = [change(10, {**MEMBER, "phase": "Terminating"}), 3600.0]
-    async with Book(spoken) as book, following(book) as (registry, heard):
+    async with RegistryServer(spoken) as book, following(book) as (registry, heard):
         await until(lambda: len(heard) == 3)
         assert heard == [
             interface.Listed("remembered", ()),
@@ -50,7 +50,7 @@
 async def test_what_is_known_is_gone_on_from_and_changes_may_come_in_pieces() -> None:
     line = change(6, {**MEMBER, "id": "s-2"}, {**MEMBER, "phase": "Gone"})
     pieces = [b"\n", line[:20], 0.02, line[20:60], 0.02, line[60:], 3600.0]
-    async with Book(pieces) as book, following(book, KNOWN) as (_, heard):
+    async with RegistryServer(pieces) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: len(heard) == 2)
         assert heard == [
             interface.Listed("remembered", (S1,)),
@@ -60,7 +60,7 @@
 
 
 async def test_a_move_while_there_is_no_version_to_go_on_from_does_not_go_round_without_end() -> None:
-    async with Book([503]) as book, following(book) as (registry, heard):
+    async with RegistryServer([503]) as book, following(book) as (registry, heard):
         await until(lambda: LOST in heard)
         registry.version, registry.limits = None, replace(QUICK, list_bytes=10)  # no list is to be had
         registry.move(book.address)
@@ -73,7 +73,7 @@
     "steps", [[503], ["reset"], [b"\n", 0.01], [b"{odd}\n"], [b"\n", 3600.0], [change(6)[:30], 0.05]]
 )
 async def test_a_watch_that_fails_is_told_as_lost_and_asked_for_again_by_the_module(steps: list) -> None:
-    async with Book(steps) as book, following(book, KNOWN) as (registry, heard):
+    async with RegistryServer(steps) as book, following(book, KNOWN) as (registry, heard):
         await until(lambda: LOST in heard)
         assert len(book.targets) == 1
         registry.follow()
@@ -81,13 +81,16 @@
 
 
 async def test_a_lost_watch_that_no_turn_asks_for_is_opened_all_the_same() -> None:
-    async with Book([503], [503]) as book, following(book, KNOWN) as (registry, heard):
+    async with RegistryServer([503], [503]) as book, following(book, KNOWN) as (registry, heard):
         await until(lambda: len(book.targets) == 3)
         assert heard[1:3] == [LOST, LOST] and registry.counters["registry.unasked"] == 2
 
 
 async def test_a_version_that_goes_back_brings_the_whole_list() -> None:
-    async with Book([change(4, MEMBER), 3600.0]) as book, following(book, KNOWN) as (registry, heard):
+    async with (
+        RegistryServer([change(4, MEMBER), 3600.0]) as book,
+        following(book, KNOWN) as (registry, heard),
+    ):
         await until(lambda: LOST in heard)
         registry.follow()
         await until(lambda: len(book.targets) == 3)
@@ -107,7 +110,7 @@
 
 async def test_an_entry_that_cannot_be_read_does_not_pass_for_gone() -> None:
     whole = json.dumps(listing(7, {**MEMBER, "id": "s-2"}, {"id": "s-1"}))
-    async with Book([whole.encode() + b"\n", 3600.0]) as book, following(book, KNOWN) as (_, heard):
+    async with RegistryServer([whole.encode() + b"\n", 3600.0]) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: len(heard) == 2)
         assert heard[1] == interface.Listed("changes", (S1._replace(backend="s-2"),))
 
@@ -118,7 +121,10 @@
     """The watch stayed at the old place for as long as that one gave signs of life."""
     held = HeldDials(monkeypatch)
     limits = replace(QUICK, connect_us=60 * SECOND)  # it is cut, and does not run out of time
-    async with Book([b"\n", 3600.0]) as old, Book([change(6, {**MEMBER, "id": "s-2"}), 3600.0]) as new:
+    async with (
+        RegistryServer([b"\n", 3600.0]) as old,
+        RegistryServer([change(6, {**MEMBER, "id": "s-2"}), 3600.0]) as new,
+    ):
         held.gates[old.address] = asyncio.Event()
         async with following(old, KNOWN, limits) as (registry, heard):
             await until(lambda: old.address in held.dialed)
@@ -132,14 +138,18 @@
 
 async def test_a_move_while_the_whole_list_is_being_fetched_is_followed_at_once() -> None:
     known, limits = KNOWN._replace(entries=()), replace(QUICK, list_us=60 * SECOND)
-    async with Party(silent) as old, Book() as new, following(old, known, limits) as (registry, heard):
+    async with (
+        LoopbackServer(silent) as old,
+        RegistryServer() as new,
+        following(old, known, limits) as (registry, heard),
+    ):
         await until(lambda: old.writers)
         registry.move(new.address)
         await until(lambda: len(new.targets) == 2 and len(heard) == 2)
         assert heard[1] == interface.Listed("whole", (S1,)) and new.targets[1].endswith("from=9")
 
 
-class Later(Book):
+class Later(RegistryServer):
     """A registry whose first watches are not answered at all."""
 
     async def book(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
@@ -160,7 +170,7 @@
     waits: list = {"turned away": [[503]] * 40, "silent": [["silent"]] * 2, "refused": []}[fails]
     old_says = [b"\n", 0.1, change(6, {**MEMBER, "id": "s-2"}), *[b"\n", 0.1] * 99]
     async with (
-        Book(old_says) as old,
+        RegistryServer(old_says) as old,
         Later(*waits, [change(7, {**MEMBER, "id": "s-3"}), *[b"\n", 0.1] * 99]) as new,
     ):
         if fails == "refused":
@@ -178,7 +188,7 @@
 
 async def test_there_and_back_again_stays_where_it_was() -> None:
     async with (
-        Book([b"\n", 0.05] * 99) as old,
+        RegistryServer([b"\n", 0.05] * 99) as old,
         Later(*[["silent"]] * 9) as new,
         following(old, KNOWN) as (registry, heard),
     ):
@@ -191,7 +201,7 @@
 
 
 async def test_bytes_that_dribble_in_and_never_make_a_line_are_no_sign_of_life() -> None:
-    async with Book([b"\n", *[b"{", 0.03] * 999]) as book, following(book, KNOWN) as (_, heard):
+    async with RegistryServer([b"\n", *[b"{", 0.03] * 999]) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: LOST in heard)
         assert len(book.targets) == 1
 
@@ -199,7 +209,10 @@
 async def test_a_line_may_come_slowly_as_long_as_it_comes() -> None:
     line = change(6, {**MEMBER, "id": "s-2"})
     slow = [part for n in range(0, len(line), 30) for part in (line[n : n + 30], 0.02)]
-    async with Book([b"\n", 0.1, *slow, b"\n", 3600.0]) as book, following(book, KNOWN) as (_, heard):
+    async with (
+        RegistryServer([b"\n", 0.1, *slow, b"\n", 3600.0]) as book,
+        following(book, KNOWN) as (_, heard),
+    ):
         await until(lambda: len(heard) == 2)
         assert heard[1] != LOST
 
@@ -219,7 +232,7 @@
     line = change(6, *({**MEMBER, "id": f"s-{n}"} for n in range(2, 60)))
     slow = in_pieces(line, times * QUICK.watch_idle_us / 1e6)
     async with (
-        Book(*([*slow, b"\n", 3600.0] for _ in range(5))) as book,
+        RegistryServer(*([*slow, b"\n", 3600.0] for _ in range(5))) as book,
         following(book, KNOWN) as (registry, heard),
     ):
         await until(lambda: heard[-1].kind == "changes")
@@ -234,8 +247,8 @@
 
     async def slowly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
-        _, target, _ = await request(reader, state)
-        writer.write(answered(state, 200, None))
+        _, target, _ = await read_request(reader, state)
+        writer.write(response_bytes(state, 200, None))
         if "watch" in target:
             await reader.read()
         for step in in_pieces(body, 1.5 * QUICK.list_us / 1e6):
@@ -247,13 +260,13 @@
         writer.write(state.send(h11.EndOfMessage()))
 
     known = KNOWN._replace(entries=())
-    async with Party(slowly) as book, following(book, known) as (_, heard):
+    async with LoopbackServer(slowly) as book, following(book, known) as (_, heard):
         await until(lambda: heard[-1].kind == "whole")
         assert heard[1:-1] == [LOST] * (len(heard) - 2) and len(heard) > 2
 
 
 async def test_silence_within_a_list_is_given_no_longer_after_slow_ones() -> None:
-    async with Book([b"{", 3600.0]) as book, following(book, KNOWN) as (registry, heard):
+    async with RegistryServer([b"{", 3600.0]) as book, following(book, KNOWN) as (registry, heard):
         registry.slow = 3
         await until(lambda: registry.open.is_set())
         began = asyncio.get_running_loop().time()
@@ -267,7 +280,7 @@
     limits = replace(QUICK, watch_renew_us=100 * MS, watch_renew_max_us=200 * MS)
     last = [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
     async with (
-        Book([b"\n", 0.05] * 400, [503], last) as book,
+        RegistryServer([b"\n", 0.05] * 400, [503], last) as book,
         following(book, KNOWN, limits) as (registry, heard),
     ):
         await until(lambda: len(heard) == 2)
@@ -279,7 +292,9 @@
 
 async def test_a_server_that_only_others_name_brings_the_next_call() -> None:
     async with (
-        Book([b"\n", 0.05] * 400, [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]) as book,
+        RegistryServer(
+            [b"\n", 0.05] * 400, [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
+        ) as book,
         following(book, KNOWN, replace(QUICK, unlisted_us=40 * MS)) as (registry, heard),
     ):
         await until(lambda: registry.open.is_set())
@@ -300,7 +315,7 @@
 ) -> None:
     heard: list[interface.Event] = []
     registry = Registry("", KNOWN._replace(version=7), heard.append, CODEC, QUICK, Counters())
-    async with Book() as book:
+    async with RegistryServer() as book:
         link = await HttpConnection.open(book.address, QUICK)
         link.watch_from = since
         told = CODEC.listed(listing(version, MEMBER, complete=whole))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,15 +10,15 @@
 from fleet import MS, SECOND
 from parties import (
     CODEC,
-    PICTURE,
     QUICK,
-    STANDS,
+    SNAPSHOT_EVENTS,
+    SNAPSHOT_LINES,
     HeldDials,
-    Relay,
-    answered,
-    asked,
+    RelayServer,
     calls_to,
-    news_of,
+    events_of,
+    next_request,
+    response_bytes,
     running,
     until,
 )
@@ -44,40 +44,43 @@
     ("fault", "times"), [*((fault, 1) for fault in ONCE), *((fault, 2) for fault in TWICE)]
 )
 async def test_a_turn_is_settled_before_the_next_whatever_happens_to_its_call(fault: str, times: int) -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults += ["", fault, fault, ""] if fault == "throttled" else ["", fault]
         await calls.carry_out([interface.Mark(6, True)])
         await calls.carry_out(ORDERS)  # over the connection that was kept
         await calls.carry_out([interface.Mark(8, True)])
-        assert relay.done == ["SYNC,6,1", *TEXTS * times, "SYNC,8,1"]
+        assert relay.orders_done == ["SYNC,6,1", *TEXTS * times, "SYNC,8,1"]
 
 
 async def test_the_order_that_the_relay_stops_at_is_left_out_and_the_rest_goes_on() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults += ["short 1", "short 1", "short 0", "short 0"]  # told twice, and so believed
         await calls.carry_out(ORDERS)
-        assert relay.done == ["DEL,1", "DEL,1", "SYNC,7,1"] and calls.counters["relay.orders_left_out"] == 2
+        assert (
+            relay.orders_done == ["DEL,1", "DEL,1", "SYNC,7,1"]
+            and calls.counters["relay.orders_left_out"] == 2
+        )
 
 
 async def test_an_order_that_the_relay_finds_invalid_is_found_by_halves() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults.append("picky")
         await calls.carry_out([*ORDERS[:2], interface.Withdraw("bad", True), *ORDERS[2:]])
-        assert relay.done == TEXTS and calls.counters["relay.orders_left_out"] == 1
+        assert relay.orders_done == TEXTS and calls.counters["relay.orders_left_out"] == 1
 
 
 async def test_a_long_turn_is_split_with_its_mark_behind_all_it_covers() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         await calls.carry_out(
             [*(interface.Own(n % 12, f"s-{n:0200d}", 1.0) for n in range(900)), interface.Mark(7, True)]
         )
-        assert len(relay.calls) > 2 and relay.done[-1] == "SYNC,7,1" and len(relay.done) == 901
+        assert len(relay.calls) > 2 and relay.orders_done[-1] == "SYNC,7,1" and len(relay.orders_done) == 901
         assert all(len(";".join(orders)) <= 60_000 for orders in relay.calls)
         assert len(relay.writers) == 1, "one connection serves them all"
 
 
 async def test_calls_wait_for_a_relay_that_is_away_and_orders_for_slices_given_anew_are_void() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         news = News(relay.address, calls, lambda event: None, CODEC, QUICK, Counters())
         relay.faults += ["reset before"] * 10_000  # it stays away until the news has come
         task = asyncio.create_task(calls.carry_out(ORDERS))
@@ -87,18 +90,18 @@
         await until(lambda: len(relay.calls) >= begun + 2)  # the last of them began after the news
         relay.faults.clear()
         await task
-        assert relay.calls[0] == TEXTS and relay.done == ["DEL,1", "SYNC,7,1"]
+        assert relay.calls[0] == TEXTS and relay.orders_done == ["DEL,1", "SYNC,7,1"]
 
 
 async def test_news_after_the_picture_are_passed_on_and_nothing_is_written_after_the_call() -> None:
-    async with Relay() as relay, news_of(relay) as (_, heard):
+    async with RelayServer() as relay, events_of(relay) as (_, heard):
         for kind, data in (
             ("ACK", "node=1&nonce=9&latency=2.5"),
             ("CLOSED", "node=1"),
             ("ODD", "x=1"),
             ("GRANT", "shard=4&set=0"),
         ):
-            relay.say(kind, data)
+            relay.send_event(kind, data)
         await until(lambda: len(heard) == 3)
         assert heard == [interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
         assert relay.written_after == b""
@@ -106,7 +109,7 @@
 
 async def test_a_flood_of_answers_keeps_no_giving_waiting() -> None:
     """News were read one piece a round of the loop, beside a turn each: a slice given was heard 5 s late."""
-    async with Relay() as relay, news_of(relay) as (_, heard):
+    async with RelayServer() as relay, events_of(relay) as (_, heard):
         state, writer = relay.streams[-1]
         flood = [("ACK", f"node=1&nonce={n}&latency=2.5") for n in range(500)] + [("GRANT", "shard=4&set=0")]
         writer.write(
@@ -123,8 +126,8 @@
 
 
 async def test_after_a_gap_what_stands_is_compared_with_what_was_known() -> None:
-    async with Relay() as relay, news_of(relay) as (_, heard):
-        relay.stands = [STANDS[0], *STANDS[2:4], ("GRANT", "shard=5&set=1")]
+    async with RelayServer() as relay, events_of(relay) as (_, heard):
+        relay.snapshot = [SNAPSHOT_LINES[0], *SNAPSHOT_LINES[2:4], ("GRANT", "shard=5&set=1")]
         relay.reset()
         await until(lambda: len(heard) >= 5)
         # Both count as having left: one that came back in the gap must answer anew.
@@ -132,17 +135,17 @@
             interface.Left(0),
             interface.Left(1),
             interface.Given(4, False),
-            PICTURE[0],
+            SNAPSHOT_EVENTS[0],
             interface.Given(5, True),
         ]
 
 
 async def test_a_slice_whose_owner_changed_in_the_gap_was_given_anew() -> None:
-    async with Relay() as relay, news_of(relay) as (news, heard):
+    async with RelayServer() as relay, events_of(relay) as (news, heard):
         await news.calls.carry_out([interface.Own(4, "s-2", 1.0)])
-        relay.stands[3:] = [
+        relay.snapshot[3:] = [
             ("ROW", "shard=3&endpoint=s-9&w=1"),
-            STANDS[4],
+            SNAPSHOT_LINES[4],
             ("ROW", "shard=4&endpoint=s-2&w=1"),
         ]
         relay.reset()
@@ -156,7 +159,7 @@
 async def test_what_stands_is_not_compared_while_a_call_is_under_way() -> None:
     # Once the picture showed a slice without the owner that the call under way was about to give it; the
     # module took it for given anew, chose another owner, and the writes of the slice were with both.
-    async with Relay() as relay, news_of(relay) as (news, heard):
+    async with RelayServer() as relay, events_of(relay) as (news, heard):
         news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults.append("held")
         under_way = asyncio.create_task(
@@ -167,29 +170,29 @@
         await until(lambda: news.counters["news.lost"] == 1)
         await asyncio.sleep(0.05)
         assert len(relay.streams) == 1 and not heard
-        relay.stands.append(("ROW", "shard=4&endpoint=s-2&w=1"))
+        relay.snapshot.append(("ROW", "shard=4&endpoint=s-2&w=1"))
         relay.held.set()
         await under_way
         await until(lambda: len(heard) >= 4)
-        assert heard == [interface.Left(0), interface.Left(1), *PICTURE[:2]], (
+        assert heard == [interface.Left(0), interface.Left(1), *SNAPSHOT_EVENTS[:2]], (
             "the slices go on where they were"
         )
 
 
 async def test_orders_that_waited_for_the_picture_are_void_for_slices_that_it_gives_anew() -> None:
-    async with Relay() as relay, news_of(relay) as (news, heard):
-        relay.stands[3] = ("ROW", "shard=3&endpoint=s-9&w=1")
+    async with RelayServer() as relay, events_of(relay) as (news, heard):
+        relay.snapshot[3] = ("ROW", "shard=3&endpoint=s-9&w=1")
         news.limits = replace(QUICK, snapshot_us=10 * SECOND, snapshot_gap_us=300 * MS)
-        relay.signs = False
+        relay.sends_heartbeats = False
         relay.reset()
         await until(lambda: len(relay.streams) == 2 and news.picture)
         await news.calls.carry_out([*ORDERS, interface.Own(3, "s-2", 1.0)])
-        assert interface.Held(3, "s-9") in heard and relay.done == TEXTS
+        assert interface.Held(3, "s-9") in heard and relay.orders_done == TEXTS
 
 
 @pytest.mark.parametrize("doubt", ["left out", "given anew"])
 async def test_where_the_store_may_differ_from_what_was_ordered_what_stands_is_asked_for(doubt: str) -> None:
-    async with Relay() as relay, news_of(relay) as (news, heard):
+    async with RelayServer() as relay, events_of(relay) as (news, heard):
         news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults += ["held"] if doubt == "given anew" else ["short 0"] * 2
         under_way = asyncio.create_task(
@@ -197,9 +200,9 @@
         )
         await until(lambda: relay.calls)
         if doubt == "given anew":
-            relay.say("GRANT", "shard=4&set=1")
+            relay.send_event("GRANT", "shard=4&set=1")
             await until(lambda: heard)
-            relay.stands.append(("ROW", "shard=4&endpoint=s-2&w=1"))  # the call came after the giving
+            relay.snapshot.append(("ROW", "shard=4&endpoint=s-2&w=1"))  # the call came after the giving
             relay.held.set()
         await under_way
         await until(lambda: len(relay.streams) == 2 and interface.Given(4, True) in heard[1:])
@@ -208,36 +211,36 @@
 
 @pytest.mark.parametrize("fault", ["silent", "unreadable event", "unreadable chunk", "cut off", "too long"])
 async def test_news_that_fail_are_asked_for_again(fault: str) -> None:
-    async with Relay() as relay, news_of(relay) as (news, heard):
-        relay.signs = fault != "silent"
+    async with RelayServer() as relay, events_of(relay) as (news, heard):
+        relay.sends_heartbeats = fault != "silent"
         if fault == "unreadable event":  # something changed unheard
-            relay.say("CLOSED", "node=x")
+            relay.send_event("CLOSED", "node=x")
         elif fault == "unreadable chunk":
             relay.streams[-1][1].write(b"zzz\r\n")
         elif fault == "too long":
             news.limits = replace(QUICK, message_bytes=100)
-            relay.say("ODD", "x" * (2 << 20))
+            relay.send_event("ODD", "x" * (2 << 20))
         elif fault == "cut off":  # half an event is none
             relay.streams[-1][1].write(b"24\r\nevent: CLOSED\ndata: node=0\n")
             await asyncio.sleep(0.02)
             relay.reset()
         await until(lambda: len(relay.streams) == 2 and len(heard) >= 4)
-        assert heard[:4] == [interface.Left(0), interface.Left(1), *PICTURE[:2]]
+        assert heard[:4] == [interface.Left(0), interface.Left(1), *SNAPSHOT_EVENTS[:2]]
 
 
 async def test_a_picture_with_something_unreadable_is_asked_for_again_and_in_the_end_taken_as_it_is() -> None:
     """A joined proxy that can't be read counted as one that has left, and after a lease as clear."""
     odd = ("SUBSCRIBE", "node=x&locality=a&w=1&cold=1")
-    async with Relay() as relay, news_of(relay) as (_, heard):
-        relay.stands.insert(1, odd)
+    async with RelayServer() as relay, events_of(relay) as (_, heard):
+        relay.snapshot.insert(1, odd)
         relay.reset()
         await until(lambda: len(relay.streams) == 3)
         assert not heard, "nothing is decided on half a picture"
-        relay.stands.remove(odd)
+        relay.snapshot.remove(odd)
         await until(lambda: len(heard) == 4)
-        assert heard == [interface.Left(0), interface.Left(1), *PICTURE[:2]]
+        assert heard == [interface.Left(0), interface.Left(1), *SNAPSHOT_EVENTS[:2]]
         heard.clear()
-        relay.stands.insert(1, odd)
+        relay.snapshot.insert(1, odd)
         relay.reset()
         await until(lambda: len(heard) == 4)  # it stays so: the rest is what stands
 
@@ -245,28 +248,28 @@
 async def test_a_relay_that_needs_longer_for_its_picture_comes_to_an_end() -> None:
     """Each attempt had the same time, and none came to the end of what stands."""
 
-    class Slow(Relay):
-        def say(self, kind: str, data: str, stream: int = -1) -> None:
+    class Slow(RelayServer):
+        def send_event(self, kind: str, data: str, stream: int = -1) -> None:
             self.later.append((kind, data, stream))
 
-        def sign(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
+        def send_heartbeat(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
             for kind, data, stream in self.later[:1]:
-                super().say(kind, data, stream)
+                super().send_event(kind, data, stream)
             del self.later[:1]
 
     heard: list[interface.Event] = []
     limits = replace(QUICK, snapshot_us=200 * MS, snapshot_gap_us=180 * MS)  # ten events, 100 ms apart
     async with Slow() as relay, calls_to(relay) as calls:
-        relay.later, relay.stands = [], STANDS * 2
+        relay.later, relay.snapshot = [], SNAPSHOT_LINES * 2
         news = News(relay.address, calls, heard.append, CODEC, limits, Counters())
         async with running(news.run()):
-            await until(lambda: len(heard) >= 2 * len(PICTURE) - 3)
+            await until(lambda: len(heard) >= 2 * len(SNAPSHOT_EVENTS) - 3)
         assert news.counters["news.opened"] > 1
 
 
 async def test_news_that_dribble_are_no_sign_of_life() -> None:
-    async with Relay() as relay, news_of(relay) as (news, _):
-        relay.signs = False
+    async with RelayServer() as relay, events_of(relay) as (news, _):
+        relay.sends_heartbeats = False
         state, writer = relay.streams[-1]
         while news.counters["news.lost"] == 0:
             if not writer.is_closing():
@@ -279,29 +282,29 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held, heard, limits = HeldDials(monkeypatch), [], replace(QUICK, connect_us=60 * SECOND)
-    async with Relay() as old, Relay() as new, calls_to(old) as calls:
-        new.stands = list(STANDS)
+    async with RelayServer() as old, RelayServer() as new, calls_to(old) as calls:
+        new.snapshot = list(SNAPSHOT_LINES)
         held.gates[old.address] = asyncio.Event()
         news = News(old.address, calls, heard.append, CODEC, limits, Counters())
         async with running(news.run()):
             await until(lambda: held.dialed)
             news.move(new.address)
-            await until(lambda: heard == PICTURE)
+            await until(lambda: heard == SNAPSHOT_EVENTS)
             held.gates[old.address].set()
             await asyncio.sleep(0.05)
             assert not old.streams and not calls.quiet.locked()
 
 
 async def test_an_answer_that_comes_twice_does_not_pass_for_that_to_the_next_call() -> None:
-    class Twice(Relay):
+    class Twice(RelayServer):
         """Sends the first call's answer again with the second call, which it does not carry out."""
 
         async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
             state = h11.Connection(h11.SERVER)
             first = True
-            while (request := await asked(reader, state)) is not None:
+            while (request := await next_request(reader, state)) is not None:
                 self.calls.append(request[2].decode())
-                answer = answered(
+                answer = response_bytes(
                     state, 200, b"<Response><entries><item><ok_count>1</ok_count></item></entries></Response>"
                 )
                 writer.write(answer)
@@ -325,30 +328,30 @@
 
 
 async def test_what_comes_unasked_on_a_kept_connection_has_what_stands_compared() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
         calls.doubt = lambda: doubts.append(True)
         await calls.carry_out([interface.Mark(1, True)])
         relay.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         await until(lambda: calls.link.has_unrequested_data)
         await calls.carry_out([interface.Mark(2, True)])
-        assert doubts == [True] and relay.done == ["SYNC,1,1", "SYNC,2,1"] and len(relay.writers) == 2
+        assert doubts == [True] and relay.orders_done == ["SYNC,1,1", "SYNC,2,1"] and len(relay.writers) == 2
 
 
 async def test_a_connection_closed_as_idle_in_the_instant_of_its_use_costs_one_attempt() -> None:
-    async with Relay() as relay, calls_to(relay) as calls:
+    async with RelayServer() as relay, calls_to(relay) as calls:
         await calls.carry_out([interface.Mark(1, True)])
         link = calls.link
         link.writer.transport.pause_reading()  # its end is on the way and not seen
         relay.reset()
         link.writer.transport.resume_reading()
         await calls.carry_out([interface.Mark(2, True)])
-        assert relay.done == ["SYNC,1,1", "SYNC,2,1"]
+        assert relay.orders_done == ["SYNC,1,1", "SYNC,2,1"]
 
 
 async def test_counts_that_are_another_each_time_are_not_asked_for_without_a_pause() -> None:
     limits = replace(QUICK, retry_min_us=40 * MS, retry_max_us=80 * MS)
-    async with Relay() as relay, calls_to(relay, limits) as calls:
+    async with RelayServer() as relay, calls_to(relay, limits) as calls:
         relay.faults += [f"short {n % 2}" for n in range(10_000)]
         async with running(calls.carry_out([interface.Mark(n, True) for n in range(4)])):
             await asyncio.sleep(0.4)
--- a/tests/test_review_finds.py
+++ b/tests/test_review_finds.py
@@ -10,7 +10,7 @@
 
 import h11
 from faulty_process import Controller, Faults, controller, free_address, process
-from parties import Party, Relay, play, until
+from parties import LoopbackServer, RelayServer, play, until
 from test_accept_faults import FILE, UPGRADE
 from websockets.asyncio.client import connect
 
@@ -117,7 +117,7 @@
     """Guards against a stream of news that goes on without a pause while its buffer holds a further chunk."""
 
     async def test() -> None:
-        relay, slowest_s = Relay(), 0.0
+        relay, slowest_s = RelayServer(), 0.0
         async with controller(tmp_path, relay=relay) as running:
             loop = asyncio.get_running_loop()
             reader, writer = await running.connect()
@@ -182,7 +182,7 @@
     async def test() -> None:
         loop, slowest_s = asyncio.get_running_loop(), 0.0
         faults, address, file = Faults(tmp_path / "faults"), free_address(), tmp_path / "operator.textproto"
-        async with Party(read_and_answer_small_pieces) as node:
+        async with LoopbackServer(read_and_answer_small_pieces) as node:
             text = FILE.format(listen="{}:{}".format(*address))
             file.write_text(text.replace('127.0.0.1:1"', f'{node.address}"'))
             async with (
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -7,13 +7,15 @@
 from dataclasses import replace
 
 import pytest
-from parties import TOLD, launch, running, until
+from parties import SMALL_DEPLOYMENT, launch, running, until
 from rule_world import RELAY_FAULTS, Roll, World, comes_right, is_right
 
 from lapispass.net.service import Service
 
 SLICES, PROXIES = 8, 4
-DEPLOYMENT = replace(TOLD, slices=SLICES, proxies=PROXIES, may_probe=False, asks_for_list=True, cold_us=1)
+DEPLOYMENT = replace(
+    SMALL_DEPLOYMENT, slices=SLICES, proxies=PROXIES, may_probe=False, asks_for_list=True, cold_us=1
+)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,21 @@
 
 import pytest
 from fleet import MS, SECOND
-from parties import CODEC, LOST, MEMBER, MET, QUICK, STANDS, TOLD, Book, Relay, change, launch, running, until
+from parties import (
+    CODEC,
+    LOAD_REPORT,
+    LOST,
+    MEMBER,
+    QUICK,
+    SMALL_DEPLOYMENT,
+    SNAPSHOT_LINES,
+    RegistryServer,
+    RelayServer,
+    change,
+    launch,
+    running,
+    until,
+)
 
 from lapispass import interface
 from lapispass.net.http import InboxFull
@@ -24,15 +38,15 @@
 )
 async def test_a_handover_through_sockets_goes_step_by_step(faults: list[str]) -> None:
     drained = {**MEMBER, "phase": "Terminating"}
-    async with Relay() as relay, Book([b"\n", 0.2, change(2, drained), 3600.0]) as book:
-        relay.stands, relay.answers = list(STANDS[:4]), True
+    async with RelayServer() as relay, RegistryServer([b"\n", 0.2, change(2, drained), 3600.0]) as book:
+        relay.snapshot, relay.acknowledges = list(SNAPSHOT_LINES[:4]), True
         relay.faults += faults
         async with running(Service(launch(relay.address, book.address)).run()):
-            await until(lambda: any(text.startswith("SET,3,s-2") for text in relay.done))
-        done = [text.split(",") for text in relay.done]
+            await until(lambda: any(text.startswith("SET,3,s-2") for text in relay.orders_done))
+        done = [text.split(",") for text in relay.orders_done]
         assert relay.streams and relay.written_after == b""
         empty, own = (
-            next(n for n, text in enumerate(relay.done) if text.startswith(start))
+            next(n for n, text in enumerate(relay.orders_done) if text.startswith(start))
             for start in ("DEL,3", "SET,3,s-2")
         )
         marks = [n for n, parts in enumerate(done) if parts[0] == "SYNC"]
@@ -42,23 +56,26 @@
 
 
 async def test_no_owner_is_published_while_a_proxy_has_not_answered() -> None:
-    async with Relay() as relay, Book([b"\n", 0.2, change(2, {**MEMBER, "phase": "Gone"}), 3600.0]) as book:
-        relay.stands = list(STANDS[:4])
+    async with (
+        RelayServer() as relay,
+        RegistryServer([b"\n", 0.2, change(2, {**MEMBER, "phase": "Gone"}), 3600.0]) as book,
+    ):
+        relay.snapshot = list(SNAPSHOT_LINES[:4])
         service = Service(launch(relay.address, book.address))
         async with running(service.run()):
-            await until(lambda: "DEL,3" in relay.done)
-            mark = next(text for text in reversed(relay.done) if text.startswith("SYNC"))
+            await until(lambda: "DEL,3" in relay.orders_done)
+            mark = next(text for text in reversed(relay.orders_done) if text.startswith("SYNC"))
             turns = service.counters["service.turns"]
             await until(lambda: service.counters["service.turns"] > turns + 12)
-            relay.say("ACK", f"node=0&nonce={mark.split(',')[1]}&latency=5")
+            relay.send_event("ACK", f"node=0&nonce={mark.split(',')[1]}&latency=5")
             await until(lambda: service.counters["service.turns"] > turns + 24)
-            assert not any(text.startswith("SET,3") for text in relay.done)
-            relay.say("ACK", f"node=1&nonce={mark.split(',')[1]}&latency=5")
-            await until(lambda: "SET,3,s-2,1" in relay.done)
+            assert not any(text.startswith("SET,3") for text in relay.orders_done)
+            relay.send_event("ACK", f"node=1&nonce={mark.split(',')[1]}&latency=5")
+            await until(lambda: "SET,3,s-2,1" in relay.orders_done)
 
 
 async def test_a_fault_in_the_module_ends_the_service() -> None:
-    async with Relay() as relay, Book() as book:
+    async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         service.controller.turn = lambda *_: 1 // 0
         with pytest.raises(ZeroDivisionError):
@@ -66,7 +83,7 @@
 
 
 async def test_turns_keep_their_distance_and_wake_ups_never_come_in_the_turn_that_asked() -> None:
-    async with Relay() as relay, Book() as book:
+    async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         seen: list[tuple[int, list]] = []
 
@@ -78,12 +95,12 @@
         async with running(service.run()):
             await until(lambda: len(seen) > 20)
         gaps = [after[0] - before[0] for before, after in pairwise(seen)]
-        assert min(gaps) >= TOLD.turn_every_us and interface.Woken(5) not in seen[0][1]
+        assert min(gaps) >= SMALL_DEPLOYMENT.turn_every_us and interface.Woken(5) not in seen[0][1]
         assert all(interface.Woken(5) in events for _, events in seen[1:])
 
 
 async def test_a_turn_is_late_when_the_process_stood_still_and_not_when_a_call_took_long() -> None:
-    async with Relay() as relay, Book() as book:
+    async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         turns: list[int] = []
 
@@ -103,10 +120,10 @@
 
 async def test_a_full_inbox_leaves_out_sums_and_nothing_else() -> None:
     service = Service(launch("127.0.0.1:1", "127.0.0.1:1", limits=replace(QUICK, events=3)))
-    for event in (MET, MET, MET, MET, interface.Left(1)):
+    for event in (LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, interface.Left(1)):
         service.tell(event)
     assert (
-        service.inbox[1:] == [MET, MET, interface.Left(1)]
+        service.inbox[1:] == [LOAD_REPORT, LOAD_REPORT, interface.Left(1)]
         and service.counters["service.events_left_out"] == 2
     )
     service.tell(interface.Left(2))
@@ -124,20 +141,20 @@
 async def test_a_replaced_configuration_moves_relay_and_registry_while_a_handover_goes_on() -> None:
     drained = change(2, {**MEMBER, "phase": "Terminating"})
     async with (
-        Relay() as old,
-        Relay() as new,
-        Book([b"\n", 0.1, drained, *[b"\n", 0.1] * 99]) as was,
-        Book([b"\n", 0.1] * 99) as book,
+        RelayServer() as old,
+        RelayServer() as new,
+        RegistryServer([b"\n", 0.1, drained, *[b"\n", 0.1] * 99]) as was,
+        RegistryServer([b"\n", 0.1] * 99) as book,
     ):
-        old.stands, old.answers = list(STANDS[:4]), False
-        new.stands, new.answers = [*STANDS[:3]], True
+        old.snapshot, old.acknowledges = list(SNAPSHOT_LINES[:4]), False
+        new.snapshot, new.acknowledges = [*SNAPSHOT_LINES[:3]], True
         began = launch(old.address, was.address)
         service = Service(began)
         async with running(service.run()):
-            await until(lambda: "DEL,3" in old.done)  # the empty step is under way
+            await until(lambda: "DEL,3" in old.orders_done)  # the empty step is under way
             await service.follow(replace(began, relay=new.address, registry=book.address, told=CODEC.told))
-            await until(lambda: "SET,3,s-2,1" in new.done)
-            steps = [text for text in old.done + new.done if text.startswith(("SET", "DEL"))]
+            await until(lambda: "SET,3,s-2,1" in new.orders_done)
+            steps = [text for text in old.orders_done + new.orders_done if text.startswith(("SET", "DEL"))]
             assert steps == ["DEL,3", "SET,3,s-2,1"], "nothing is lost or said twice"
             assert book.targets == ["/registry/instances?watch=1&from=2"] and len(was.targets) == 1
             assert service.counters["registry.lost"] == 0 and new.written_after == b""
@@ -151,7 +168,7 @@
 
 
 async def test_an_address_that_cannot_be_bound_is_a_bad_start() -> None:
-    async with Relay() as relay, Book() as book:
+    async with RelayServer() as relay, RegistryServer() as book:
         with pytest.raises(BadStart, match="LB_LISTEN"):
             await Service(launch(relay.address, book.address, listen=relay.address)).run()
 
@@ -160,9 +177,9 @@
 async def at_the_point(point: str):
     """A service that has come to a point of its life, with its stand-ins."""
     drained = change(2, {**MEMBER, "phase": "Terminating"})
-    async with Relay() as relay, Book([b"\n", 0.1, drained, *[b"\n", 0.1] * 99]) as book:
-        relay.stands, relay.answers = list(STANDS[:4]), point == "owner"
-        relay.signs = point != "picture"
+    async with RelayServer() as relay, RegistryServer([b"\n", 0.1, drained, *[b"\n", 0.1] * 99]) as book:
+        relay.snapshot, relay.acknowledges = list(SNAPSHOT_LINES[:4]), point == "owner"
+        relay.sends_heartbeats = point != "picture"
         limits = replace(
             QUICK,
             answer_us=10 * SECOND,
@@ -190,8 +207,8 @@
                     )
                     or service.counters["registry.messages"]
                 ),
-                "empty": lambda: "DEL,3" in relay.done,
-                "owner": lambda: any(text.startswith("SET,3") for text in relay.done),
+                "empty": lambda: "DEL,3" in relay.orders_done,
+                "owner": lambda: any(text.startswith("SET,3") for text in relay.orders_done),
             }[point]
         )
         yield service, life, relay, book
@@ -214,7 +231,7 @@
         service.stop()
         await asyncio.wait_for(life, 2)
         assert time.monotonic() - began < 1
-        done = len(relay.done)
+        done = len(relay.orders_done)
         await until(lambda: all(task.done() for task in [*book.tasks]))
         ours = [
             task for task in asyncio.all_tasks() if "lapispass/" in str(task.get_coro().cr_code.co_filename)
@@ -222,11 +239,11 @@
         assert not ours and not service.probes.under_way
         assert service.calls.link is None or service.calls.link.writer.is_closing()
         await asyncio.sleep(0.05)
-        assert len(relay.done) == done, "nothing is ordered after the end"
+        assert len(relay.orders_done) == done, "nothing is ordered after the end"
 
 
 async def test_a_restart_while_the_process_before_still_holds_the_address_waits_for_it() -> None:
-    async with Relay() as relay, Book() as book:
+    async with RelayServer() as relay, RegistryServer() as book:
         before = socket.create_server(("127.0.0.1", 0))
         address = f"127.0.0.1:{before.getsockname()[1]}"
         service = Service(
--- a/tests/test_setup_faults.py
+++ b/tests/test_setup_faults.py
@@ -14,7 +14,7 @@
 import h11
 import pytest
 from faulty_process import ALWAYS, Call, Controller, Faults, controller, free_address, names, process
-from parties import MEMBER, Party, answered, asked, play
+from parties import MEMBER, LoopbackServer, next_request, play, response_bytes
 from rule_world import Roll, World, comes_right
 from test_accept_faults import FILE, PREFACE, UPGRADE, XDS_FILE
 from test_fault_rules import PROXIES, SLICES
@@ -324,7 +324,7 @@
     play(test(), 150)
 
 
-class Server(Party):
+class Server(LoopbackServer):
     """A server that answers every probe, and counts them."""
 
     def __init__(self) -> None:
@@ -333,9 +333,9 @@
 
     async def answer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
-        while await asked(reader, state) is not None:
+        while await next_request(reader, state) is not None:
             self.probes += 1
-            writer.write(answered(state, 200, b""))
+            writer.write(response_bytes(state, 200, b""))
             state.start_next_cycle()
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 
 import pytest
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
-from parties import Party, play
+from parties import LoopbackServer, play
 from soak import PING, PONG, Client, Day, Verdict, play_day
 
 
@@ -61,7 +61,7 @@
 
     async def test() -> None:
         judged = day(Faults(tmp_path / "faults"), due_s)
-        async with Party(serve) as server:
+        async with LoopbackServer(serve) as server:
             address = server.address.split(":")
             judged.running.connect = lambda: asyncio.open_connection(*address)  # type: ignore[method-assign]
             client = Client(judged)
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -12,7 +12,7 @@
 import pytest
 import soak_gate
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
-from parties import Party, play
+from parties import LoopbackServer, play
 from soak import Verdict
 from soak_gate import Client, GateDay, carried_twice, play_day
 
@@ -74,7 +74,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(soak_gate, "ANSWER_S", 0.3)
-        async with Party(serve) as party:
+        async with LoopbackServer(serve) as party:
             address = party.address.split(":")
             one = client(tmp_path, lambda: asyncio.open_connection(*address))
             living = asyncio.create_task(one.live(pauses_s=(10.0,)))
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -15,7 +15,16 @@
 from async_tests import ended
 from configurations import CONFIG, SETTINGS, listing
 from fleet import deployment
-from parties import CODEC, TOLD, Party, answered, listening, request, running, until
+from parties import (
+    CODEC,
+    SMALL_DEPLOYMENT,
+    LoopbackServer,
+    listening,
+    read_request,
+    response_bytes,
+    running,
+    until,
+)
 
 from lapispass import interface
 from lapispass.core.membership import Members
@@ -36,7 +45,7 @@
 CONTROLLERS = 720
 ZONES = 16
 LIMITS = Limits()
-NOTHING = Listing(0, False, (), {}, 0)
+EMPTY_LISTING = Listing(0, False, (), {}, 0)
 CHUNK_BYTES = 16 << 10
 
 
@@ -61,7 +70,7 @@
     return json.dumps(listing(revision, *members)).encode()
 
 
-class ListServer(Party):
+class ListServer(LoopbackServer):
     """A registry that answers every call with a whole list, and then tells one change."""
 
     def __init__(self, body: bytes, change: bytes) -> None:
@@ -70,13 +79,13 @@
 
     async def listed(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        _, target, _ = await request(reader, state)
+        _, target, _ = await read_request(reader, state)
         self.targets.append(target)
         if "watch=1" not in target:
-            writer.write(answered(state, 200, self.body))
+            writer.write(response_bytes(state, 200, self.body))
             await writer.drain()
             return None
-        writer.write(answered(state, 200, None))
+        writer.write(response_bytes(state, 200, None))
         for begin in range(0, len(self.body), CHUNK_BYTES):  # the line of a watch comes in many chunks
             writer.write(state.send(h11.Data(data=self.body[begin : begin + CHUNK_BYTES])))
             await writer.drain()
@@ -96,7 +105,7 @@
     async with ListServer(body, change) as server:
         heard: list[interface.Listed] = []
         counters = Counters()
-        registry = Registry(server.address, NOTHING, heard.append, CODEC, LIMITS, counters)
+        registry = Registry(server.address, EMPTY_LISTING, heard.append, CODEC, LIMITS, counters)
         async with running(registry.run()):
             registry.follow()
             await until(lambda: len(heard) == 4)
@@ -139,7 +148,7 @@
 
 async def test_a_list_beyond_the_bound_is_still_cut_and_never_passes_for_whole() -> None:
     heard: list[interface.Listed] = []
-    registry = Registry("", NOTHING, heard.append, CODEC, LIMITS, Counters())
+    registry = Registry("", EMPTY_LISTING, heard.append, CODEC, LIMITS, Counters())
     entries = tuple(interface.Entry(f"s-{n}", "a", "ready", 1.0, None) for n in range(LIMITS.servers + 3))
     registry.take(Listing(2, True, entries, {}, 0))
     assert heard[-1].kind == "changes" and len(heard[-1].entries) == LIMITS.servers
@@ -147,7 +156,9 @@
 
 
 async def test_what_the_registry_client_keeps_is_bounded_over_a_long_churn() -> None:
-    registry = Registry("", NOTHING, lambda event: None, CODEC, replace(LIMITS, servers=SERVERS), Counters())
+    registry = Registry(
+        "", EMPTY_LISTING, lambda event: None, CODEC, replace(LIMITS, servers=SERVERS), Counters()
+    )
     for round_ in range(5):
         entries = tuple(interface.Entry(f"s-{round_}-{n}", "a", "ready", 1.0, None) for n in range(SERVERS))
         addresses = {entry.backend: "127.0.0.1:9" for entry in entries}
@@ -250,4 +261,4 @@
 @pytest.mark.parametrize("odd", [",", ";", "\r", "\n", "a,b", "a;", "\na"])
 def test_an_id_that_holds_what_separates_is_none(odd: str) -> None:
     with pytest.raises(WireError, match="no id"):
-        Codec(TOLD, LIMITS.id_bytes)._id(odd)
+        Codec(SMALL_DEPLOYMENT, LIMITS.id_bytes)._id(odd)
--- a/tests/test_uplink.py
+++ b/tests/test_uplink.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from parties import Party, play
+from parties import LoopbackServer, play
 from support_gate import CLASSES, QUICK, until
 
 from lapispass.gate import wire
@@ -55,7 +55,7 @@
     async def test() -> None:
         pause_s = share * QUICK.connect_us / 1e6
         async with (
-            Party(partial(answer_slowly, pause_s)) as controller,
+            LoopbackServer(partial(answer_slowly, pause_s)) as controller,
             gate_at(controller.address, tmp_path) as gate,
         ):
             await until(lambda: gate.counters["uplink.joined"] or gate.counters["uplink.lost"])
@@ -78,7 +78,10 @@
     """Guards against a gate that ended, with all it held, on a controller's line beyond `line_bytes`."""
 
     async def test() -> None:
-        async with Party(never_end_a_line) as controller, gate_at(controller.address, tmp_path) as gate:
+        async with (
+            LoopbackServer(never_end_a_line) as controller,
+            gate_at(controller.address, tmp_path) as gate,
+        ):
             await until(lambda: gate.counters["uplink.lost"] >= 2)
             assert not gate.counters["uplink.joined"]
 
