--- a/tests/faulty_process.py
+++ b/tests/faulty_process.py
@@ -127,7 +127,7 @@
         """The wall clock is ahead by so many seconds from now on."""
         self.set(Call.CLOCK, seconds, times=0)
 
-    def draw(self, chance: random.Random) -> list[Call]:
+    def inject_random(self, chance: random.Random) -> list[Call]:
         """A few calls fail for a moment from now on, and the wall clock may be stepped; which calls."""
         chosen = chance.sample(MOMENTARY, 3)
         for call, error in chosen:
@@ -135,13 +135,13 @@
         self.step_clock(chance.choice((0, 0, 3600, -3600, 5, -5)))
         return [call for call, _ in chosen]
 
-    def standing(self) -> list[str]:
+    def active(self) -> list[str]:
         """The calls that fail from now on, each with its error and how many of a thousand."""
         found = []
         for call in Call:
             left, thousandths, error, injected = RECORD.unpack_from(self.records, call * RECORD.size)
             if left:
-                found.append(f"{call.name} {names(error)} {thousandths} ({injected} so far)")
+                found.append(f"{call.name} {errno_name(error)} {thousandths} ({injected} so far)")
         return found
 
     def injected(self, call: Call) -> int:
@@ -172,13 +172,13 @@
         self.process, self.faults, self.address = process, faults, address
         self.lines: list[str] = []
 
-    async def says(self, words: str, after: int = 0, limit_s: float = 10) -> str:
+    async def wait_for_log(self, words: str, after: int = 0, limit_s: float = 10) -> str:
         """The first line of the log, from this one on, that holds the words; a TimeoutError tells the log."""
         try:
             async with asyncio.timeout(limit_s):
                 return await self._next_line(words, after)
         except TimeoutError:
-            told = [f"not said within {limit_s} s: {words}", *self.faults.standing(), "the log:", *self.lines]
+            told = [f"not said within {limit_s} s: {words}", *self.faults.active(), "the log:", *self.lines]
             raise TimeoutError("\n".join(told)) from None
 
     async def _next_line(self, words: str, after: int) -> str:
@@ -191,7 +191,7 @@
             assert line, "\n".join(["the process has ended:", *self.lines])
             self.lines.append(line.decode().rstrip("\n"))
 
-    async def answers(self, limit_s: float = 10) -> None:
+    async def wait_for_answer(self, limit_s: float = 10) -> None:
         """Waits for its first answer, after which the platform puts a controller to use."""
         async with asyncio.timeout(limit_s):
             while self.process.returncode is None:
@@ -216,11 +216,11 @@
     async def counters(self) -> dict[str, int]:
         after = len(self.lines)
         self.signal(signal.SIGUSR1)
-        line = await self.says("event=counters", after)
+        line = await self.wait_for_log("event=counters", after)
         words = (word.partition("=") for word in line.split())
         return {name: int(value) for name, _, value in words if "." in name}
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         """Its status, once it has ended."""
         self.lines += (await self.process.stderr.read()).decode().splitlines()
         return await asyncio.wait_for(self.process.wait(), 10)
@@ -252,9 +252,9 @@
     try:
         try:
             if ready is None:
-                await running.answers()
+                await running.wait_for_answer()
             else:
-                await running.says(ready)
+                await running.wait_for_log(ready)
         except (AssertionError, TimeoutError) as error:
             raise NotStarted(str(error) or f"no {ready!r} in time") from error
         yield running
@@ -281,7 +281,7 @@
     settings: Mapping[str, object] = SETTINGS,
     members: Sequence[object] = (),
     relay: RelayServer | None = None,
-    book: LoopbackServer | None = None,
+    registry: LoopbackServer | None = None,
     environment: Mapping[str, str] | None = None,
     address: tuple[str, int] | None = None,
     limits: Mapping[str, int] | None = None,
@@ -293,11 +293,11 @@
     """
     faults = faults or Faults(folder / "faults")
     address = address or free_address()
-    async with relay or RelayServer() as store, book or RegistryServer() as registry:
+    async with relay or RelayServer() as store, registry or RegistryServer() as discovery:
         config = {
             "name": "n",
             "listen": "{}:{}".format(*address),
-            "discovery": registry.address,
+            "discovery": discovery.address,
             "seed": "1",
             "settings": settings,
             "store": {"address": store.address},
@@ -311,6 +311,6 @@
             yield running
 
 
-def names(error: int) -> str:
+def errno_name(error: int) -> str:
     """An errno's name, for the text of an assertion."""
     return errno.errorcode.get(error, str(error))
--- a/tests/proxy_days.py
+++ b/tests/proxy_days.py
@@ -110,7 +110,7 @@
                 settings=self.settings,
                 members=members,
                 relay=nullcontext(self.proxies),  # type: ignore[arg-type]
-                book=nullcontext(self.fleet.registry),  # type: ignore[arg-type]
+                registry=nullcontext(self.fleet.registry),  # type: ignore[arg-type]
                 ready=None,
             ) as running:
                 lives = (self.read_log(running), self.judge(), self.fleet.replace(), self.break_streams())
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -85,7 +85,7 @@
     def late(self, took_s: float, begun: float, unread_s: float, about: str) -> None:
         """An answer came after its time; `unread_s` before it was read, it had come."""
         spent = f"; {self.times.since(begun)}" if self.times else ""
-        faults = ", ".join(self.running.faults.standing())
+        faults = ", ".join(self.running.faults.active())
         self.breach(
             f"late: {took_s:.3f} s and {self.paused_s(begun):.3f} s of pauses, had come {unread_s:.3f} s "
             f"before it was read, at {datetime.now(UTC):%T.%f}, {about}; faults: {faults}{spent}"
@@ -262,7 +262,7 @@
     """A few faults at a time, clock steps, signals and short pauses."""
     loop, running, chance = asyncio.get_running_loop(), day.running, day.chance
     while loop.time() < until:
-        chosen = running.faults.draw(chance) if day.is_faulty else []
+        chosen = running.faults.inject_random(chance) if day.is_faulty else []
         if chance.random() < 0.3:
             await pause(day)
         if chance.random() < 0.5:
@@ -299,7 +299,7 @@
     if running.process.returncode is None:
         day.verdict.killed += 1
         running.process.kill()
-    status = await running.ended()
+    status = await running.wait_for_exit()
     if status not in (0, -signal.SIGKILL):
         day.breach(f"status {status}")
     day.breach_lines()
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -6,7 +6,7 @@
 import errno
 from pathlib import Path
 
-from faulty_process import Call, Faults, free_address, names, process
+from faulty_process import Call, Faults, errno_name, free_address, process
 from parties import play
 
 UPGRADE = (
@@ -47,7 +47,7 @@
                 faults.set(Call.ACCEPT, error, times=3)
                 got = await answer(running.address)
                 if not got.startswith(b"HTTP/1.1 503"):  # its node refuses
-                    late[names(error)] = got
+                    late[errno_name(error)] = got
                 faults.clear(Call.ACCEPT)
         assert not late
 
@@ -86,7 +86,7 @@
             for error in ACCEPT_ERRORS:
                 faults.set(Call.ACCEPT, error, times=3)
                 if (got := await first_frame(running.address)) != SETTINGS:
-                    late[names(error)] = got
+                    late[errno_name(error)] = got
                 faults.clear(Call.ACCEPT)
         assert not late
 
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from faulty_process import Call, Controller, controller, names
+from faulty_process import Call, Controller, controller, errno_name
 from parties import play
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
@@ -52,7 +52,7 @@
     """A few faults at a time, clock steps and short pauses."""
     loop = asyncio.get_running_loop()
     while loop.time() < until:
-        chosen = running.faults.draw(chance)
+        chosen = running.faults.inject_random(chance)
         if chance.random() < 0.3:
             running.signal(signal.SIGSTOP)
             await asyncio.sleep(PAUSE_S)
@@ -72,7 +72,7 @@
             asked = await asyncio.gather(*lives, trouble(running, chance, until))
             counters = await running.counters()
             running.signal(signal.SIGTERM)
-            status = await running.ended()
+            status = await running.wait_for_exit()
         assert not lost and sum(asked[:-1]) > 50, (lost, asked)
         assert counters["collectors.pings"] > 50 and status == 0
         assert not [line for line in running.lines if "trace=" in line]
@@ -109,7 +109,7 @@
         if not answer:
             return
         await asyncio.sleep(LINES_OF_A_KIND_S)
-    raise AssertionError(f"{names(error)}: no client's connection broke")
+    raise AssertionError(f"{errno_name(error)}: no client's connection broke")
 
 
 def test_a_broken_connection_is_named_as_such_and_all_parties_are_found_again(tmp_path: Path) -> None:
@@ -119,17 +119,17 @@
             for error in (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.ENETDOWN):
                 after = len(running.lines)
                 await break_a_connection(running, error)
-                line = await running.says('why="broken: ', after)
-                assert "connection ended" in line and f"Errno {error}" in line, names(error)
+                line = await running.wait_for_log('why="broken: ', after)
+                assert "connection ended" in line and f"Errno {error}" in line, errno_name(error)
                 after = len(running.lines)
                 running.faults.set(Call.RECEIVE, error, times=4)  # the streams of relay and registry, too
-                await running.says("news lost", after, limit_s=5)
+                await running.wait_for_log("news lost", after, limit_s=5)
                 running.faults.clear(Call.RECEIVE)
-                await running.says("news open", after, limit_s=5)
+                await running.wait_for_log("news open", after, limit_s=5)
                 async with asking(running):
                     pass
                 await asyncio.sleep(LINES_OF_A_KIND_S)
             running.signal(signal.SIGTERM)
-            assert await running.ended() == 0
+            assert await running.wait_for_exit() == 0
 
     play(test(), 60)
--- a/tests/test_fault_rules.py
+++ b/tests/test_fault_rules.py
@@ -82,7 +82,7 @@
 async def test_rule_2_holds_on_a_process_whose_calls_fail(tmp_path: Path, seed: int) -> None:
     world, roll = World(seed, SLICES, PROXIES), Roll()
     members = [{**MEMBER, "id": f"s-{number}"} for number in range(3)]
-    told = {"settings": SETTINGS, "members": members, "relay": world, "book": roll}
+    told = {"settings": SETTINGS, "members": members, "relay": world, "registry": roll}
     async with controller(tmp_path, **told) as running:
         begun = world.loop.time()
         # On a slow machine until slices have moved: the count below needs no fast one.
@@ -99,5 +99,5 @@
             running.faults.clear(call)
         await comes_right(world, roll)
         running.signal(signal.SIGTERM)
-        assert await running.ended() == 0
+        assert await running.wait_for_exit() == 0
         assert not [line for line in running.lines if "trace=" in line]
--- a/tests/test_flooded_end.py
+++ b/tests/test_flooded_end.py
@@ -43,7 +43,7 @@
         running.signal(signal.SIGTERM)
         begun = loop.time()
         answered = sum(await asyncio.gather(*clients))
-        assert await running.ended() == 0
+        assert await running.wait_for_exit() == 0
         assert loop.time() - begun < KILL_S
     assert answered > 100 * len(PONG)
     lost = faults.bytes_read() // len(PING) - answered // len(PONG)
--- a/tests/test_front_starts.py
+++ b/tests/test_front_starts.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from faulty_process import Call, Faults, free_address, names, process
+from faulty_process import Call, Faults, errno_name, free_address, process
 from grpclib.config import Configuration
 from parties import play
 from xds_process import xds_controller
@@ -25,7 +25,7 @@
     (Call.BIND, errno.EADDRNOTAVAIL),
     (Call.GETSOCKNAME, errno.ENOBUFS),
 ]
-NAMES = [f"{call.name}-{names(error)}" for call, error in MOMENTS]
+NAMES = [f"{call.name}-{errno_name(error)}" for call, error in MOMENTS]
 GATE_FILE = """
 connection_class {{ name: "board" path_prefix: "/board" }}
 gate {{ name: "g0" listen: "{}:{}" slices: 2 }}
@@ -56,7 +56,7 @@
             file = tmp_path / "operator.textproto"
             file.write_text(GATE_FILE.format(*address))
             async with process(("gate", "-o", str(file)), faults, address, "event=listening", {}):
-                assert faults.injected(call) == 5, names(error)
+                assert faults.injected(call) == 5, errno_name(error)
 
     play(test())
 
@@ -69,7 +69,7 @@
 
     def listen(self: socket.socket, *backlog: int) -> None:
         if failures and (error := failures.pop(0)):
-            raise OSError(error, names(error))
+            raise OSError(error, errno_name(error))
         plain(self, *backlog)
 
     monkeypatch.setattr(socket.socket, "listen", listen)
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from faulty_process import SHORT, Call, Faults, free_address, names, process
+from faulty_process import SHORT, Call, Faults, errno_name, free_address, process
 from parties import LoopbackServer
 from support_gate import QUICK, world
 
@@ -51,7 +51,7 @@
             said = await everything(reader)
             writer.close()
             assert said.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in said
-            assert await gate.ended() == 0
+            assert await gate.wait_for_exit() == 0
 
 
 async def test_refusals_are_whole_where_writes_are_short_and_the_client_has_ended_its_side(
@@ -70,7 +70,7 @@
                 writer.write_eof()
                 got = await everything(reader)
                 if not got.startswith(b"HTTP/1.1 " + status) or not got.endswith(b"\n"):
-                    bad[names(error), status] = got
+                    bad[errno_name(error), status] = got
                 faults.clear(Call.SEND)
                 writer.close()
     assert not bad
--- a/tests/test_interval_figures.py
+++ b/tests/test_interval_figures.py
@@ -72,11 +72,11 @@
         await asyncio.sleep(0.5)
         running.signal(signal.SIGCONT)
         await reader.readexactly(6)
-        line = await running.says('event="answer late"')
+        line = await running.wait_for_log('event="answer late"')
         took_us = int(line.partition("took_us=")[2].split()[0])
         assert 400_000 < took_us < 2_000_000 and "pings=2" in line
         writer.close()
         running.signal(signal.SIGTERM)
-        await running.ended()
+        await running.wait_for_exit()
     report = next(line for line in running.lines if "event=interval" in line)
     assert "answers=2 " in report and "late_answers=1 " in report and f"slowest_answer_us={took_us}" in report
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -7,7 +7,7 @@
 import signal
 from pathlib import Path
 
-from faulty_process import SHORT, Call, controller, names
+from faulty_process import SHORT, Call, controller, errno_name
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 DUE_S = 0.5  # for the answer to a request that a running process can read
@@ -77,7 +77,7 @@
             reader, writer = await running.connect()
             writer.write(PING)
             if (got := await answer(reader)) != PONG:
-                late[names(error)] = got
+                late[errno_name(error)] = got
             running.faults.clear(Call.ACCEPT)
             writer.close()
             await asyncio.sleep(0.05)
@@ -113,7 +113,7 @@
                 except OSError as failure:  # a reset, or nothing in time
                     got = repr(failure).encode()
                 if got != expected:
-                    bad[call.name, names(error), said[:20]] = got
+                    bad[call.name, errno_name(error), said[:20]] = got
                 running.faults.clear(call)
                 writer.close()
     assert not bad
--- a/tests/test_momentary_shortages.py
+++ b/tests/test_momentary_shortages.py
@@ -8,7 +8,7 @@
 from contextlib import nullcontext
 from pathlib import Path
 
-from faulty_process import Call, Faults, controller, names
+from faulty_process import Call, Faults, controller, errno_name
 from parties import play
 from two_controllers import GRACE_AT_START_S, SETTINGS, SIZE, WITHDRAWN_US, Fleet, Proxies
 
@@ -43,7 +43,7 @@
             running.faults.set(Call.ACCEPT, error, thousandths=OFTEN)
             waits = await asyncio.gather(*(ask(running.address) for _ in range(CLIENTS)))
             running.faults.clear(Call.ACCEPT)
-            slowest_s[f"accept {names(error)}"] = max(waits)
+            slowest_s[f"accept {errno_name(error)}"] = max(waits)
     return slowest_s
 
 
@@ -63,7 +63,7 @@
             settings=WITHOUT_PROBES,
             members=[member.told() for member in fleet.registry.members.values()],
             relay=nullcontext(proxies),  # type: ignore[arg-type]
-            book=nullcontext(fleet.registry),  # type: ignore[arg-type]
+            registry=nullcontext(fleet.registry),  # type: ignore[arg-type]
         ):
             await asyncio.sleep(GRACE_AT_START_S)
             leaving.phase = "Terminating"
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
-from faulty_process import Call, Faults, controller, free_address, names, process
-from parties import Relay
+from faulty_process import Call, Faults, controller, errno_name, free_address, process
+from parties import RelayServer
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 LOCAL_ERRORS = (errno.EADDRNOTAVAIL, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -40,9 +40,9 @@
         try:
             async with controller(folder, faults=faults, environment=environment) as running:
                 if await pong(running.address) != PONG or faults.injected(call) < 3:
-                    wrong[call.name, names(error)] = faults.injected(call)
+                    wrong[call.name, errno_name(error)] = faults.injected(call)
         except AssertionError as failure:
-            wrong[call.name, names(error)] = str(failure)
+            wrong[call.name, errno_name(error)] = str(failure)
     assert not wrong
 
 
@@ -54,7 +54,7 @@
             running.faults.set(Call.OPEN, error, times=3)
             after = len(running.lines)
             running.signal(signal.SIGHUP)
-            await running.says("configuration read again", after, limit_s=3)
+            await running.wait_for_log("configuration read again", after, limit_s=3)
             assert running.faults.injected(Call.OPEN)
 
 
@@ -79,7 +79,7 @@
                 said.append(repr(failure).encode())
             writer.close()
         assert said == [PONG] * len(clients)
-        assert await running.ended() == 0
+        assert await running.wait_for_exit() == 0
 
 
 GATE_FILE = """
@@ -101,20 +101,20 @@
         faults.set(Call.OPEN, errno.ENFILE, times=3)
         file.write_text("nothing of use")
         gate.signal(signal.SIGHUP)
-        await gate.says("operator file refused", limit_s=3)
+        await gate.wait_for_log("operator file refused", limit_s=3)
         assert faults.injected(Call.OPEN) == 6
         assert (await gate.counters())["gate.reloads_refused"] == 1
 
 
 async def test_a_process_that_stood_still_says_so_whatever_it_was_doing(tmp_path: Path) -> None:
     # While a relay call was under way a stand-still left no line.
-    relay = Relay()
+    relay = RelayServer()
     relay.faults += ["silent before"] * 99
     async with controller(tmp_path, relay=relay) as running:
-        await running.says("news open")
+        await running.wait_for_log("news open")
         after = len(running.lines)
         running.signal(signal.SIGSTOP)
         await asyncio.sleep(0.6)
         running.signal(signal.SIGCONT)
-        line = await running.says("event loop stalled", after)
+        line = await running.wait_for_log("event loop stalled", after)
         assert 150_000 < int(line.partition("late_us=")[2].split()[0]) < 5_000_000
--- a/tests/test_setup_faults.py
+++ b/tests/test_setup_faults.py
@@ -13,7 +13,7 @@
 
 import h11
 import pytest
-from faulty_process import ALWAYS, Call, Controller, Faults, controller, free_address, names, process
+from faulty_process import ALWAYS, Call, Controller, Faults, controller, errno_name, free_address, process
 from parties import MEMBER, LoopbackServer, next_request, play, response_bytes
 from rule_world import Roll, World, comes_right
 from test_accept_faults import FILE, PREFACE, UPGRADE, XDS_FILE
@@ -75,7 +75,7 @@
         faults.set(*fails, times=3)
     if name == "controller":
         async with controller(folder, faults=faults, environment=watched) as running:
-            await running.says("watch open")
+            await running.wait_for_log("watch open")
             yield running
         return
     verb, form = {"gate": ("gate", FILE), "xds": ("run", XDS_FILE)}[name]
@@ -106,7 +106,7 @@
 async def ended_in_order(running: Controller) -> str:
     """What is wrong with its end, and with all that it logged; nothing is "" ."""
     running.signal(signal.SIGTERM)
-    status = await running.ended()
+    status = await running.wait_for_exit()
     traces = [line for line in running.lines if "trace=" in line]
     found = [f"status {status}"] if status else []
     found += [f"{len(traces)} traces, {traces[0][:160]}"] if traces else []
@@ -123,7 +123,7 @@
     async with front(name, folder) as running:
         faults = running.faults
         for error, times in product(errors, (1, IN_A_ROW)):
-            where = f"{name} {call.name} {names(error)} {times}"
+            where = f"{name} {call.name} {errno_name(error)} {times}"
             failed = faults.injected(call)
             faults.set(call, error, times=times)
             met = await ask(running, name)
@@ -170,7 +170,7 @@
 async def accepts_again(name: str, error: int, folder: Path) -> Wrong:
     """The listening socket cannot be watched again after a pause."""
     wrong: Wrong = {}
-    where = f"{name} ACCEPT ENFILE, then EPOLL_CTL {names(error)}"
+    where = f"{name} ACCEPT ENFILE, then EPOLL_CTL {errno_name(error)}"
     async with front(name, folder) as running:
         running.faults.set(Call.ACCEPT, errno.ENFILE, times=1)
         running.faults.set(Call.EPOLL_CTL, error, times=1)
@@ -207,7 +207,7 @@
 
 async def answers_all_that_was_read(error: int, folder: Path) -> Wrong:
     """A client sends more than is taken in at once, and epoll_ctl fails where reading goes on."""
-    where, expected = f"a flood of requests, EPOLL_CTL {names(error)}", len(PONG) * FLOOD
+    where, expected = f"a flood of requests, EPOLL_CTL {errno_name(error)}", len(PONG) * FLOOD
     async with front("controller", folder) as running:
         reader, writer = await running.connect()
         writer.write(PING)
@@ -230,7 +230,7 @@
 async def makes_room(error: int, folder: Path) -> Wrong:
     """All places are taken by idle clients, and poll fails where it is asked whether another one waits."""
     folder.mkdir()
-    where, wrong = f"no room, POLL {names(error)}", {}
+    where, wrong = f"no room, POLL {errno_name(error)}", {}
     async with controller(folder, limits={"sockets": 128}) as running:
         idle = [await running.connect() for _ in range(80)]
         for reader, writer in idle:
@@ -252,7 +252,7 @@
 
 async def starts(name: str, call: Call, error: int, folder: Path) -> Wrong:
     """A process is started while a call fails a few times."""
-    where = f"start of {name}, {call.name} {names(error)}"
+    where = f"start of {name}, {call.name} {errno_name(error)}"
     try:
         async with front(name, folder, (call, error)) as running:
             failed, met = running.faults.injected(call), await ask(running, name)
@@ -359,12 +359,12 @@
         members = [{**MEMBER, "id": f"s-{number}", "host_port": server.address} for number in range(3)]
         roll.members = {str(member["id"]): member for member in members}
         settings = {**RULE_SETTINGS, "limits": {"probes": True}}
-        told = {"settings": settings, "members": members, "relay": world, "book": roll}
+        told = {"settings": settings, "members": members, "relay": world, "registry": roll}
         async with controller(folder, **told) as running:
             faults = running.faults
-            await running.says("watch open")
+            await running.wait_for_log("watch open")
             for gone, times, thousandths in (("s-0", -1, ONE_IN_TWENTY), ("s-1", IN_A_ROW, ALWAYS)):
-                where, after = f"work, {call.name} {names(error)} {times}", len(running.lines)
+                where, after = f"work, {call.name} {errno_name(error)} {times}", len(running.lines)
                 enough = faults.injected(call) + (2 if times < 0 else 10)
                 faults.set(call, error, times=times, thousandths=thousandths)
                 await drop_streams(running, world, roll, lambda least=enough: faults.injected(call) >= least)
@@ -377,21 +377,21 @@
                 if (met := await ask(running, "controller")) != "answered":
                     wrong[where, "client"] = met
             if found := await ended_in_order(running):
-                wrong["work", call.name, names(error), "end"] = found
+                wrong["work", call.name, errno_name(error), "end"] = found
     return wrong
 
 
 async def all_is_done(running: Controller, world: World, roll: Roll, gone: str, after: int) -> None:
     """News and watch come back, a server that goes is replaced, and the configuration is read again."""
-    await running.says("news open", after, limit_s=6)
-    await running.says("watch open", after, limit_s=6)
+    await running.wait_for_log("news open", after, limit_s=6)
+    await running.wait_for_log("watch open", after, limit_s=6)
     calls = len(world.calls)
     world.leave(0)
     roll.put(gone, "Gone")
     await comes_right(world, roll)
     assert len(world.calls) > calls
     running.signal(signal.SIGHUP)
-    await running.says("configuration read again", after, limit_s=2)
+    await running.wait_for_log("configuration read again", after, limit_s=2)
 
 
 def test_the_controller_works_on_after_sockets_could_not_be_set_up(tmp_path: Path) -> None:
@@ -445,7 +445,7 @@
                     if got != PONG:
                         wrong[pause_s, number] = got
                     writer.close()
-                assert await running.ended() == 0
+                assert await running.wait_for_exit() == 0
         assert not wrong
 
     play(test())
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -47,7 +47,7 @@
         await commits(running, before + 1)
         await asyncio.sleep(1.5)
         running.signal(signal.SIGTERM)
-        assert await running.ended() == 0
+        assert await running.wait_for_exit() == 0
     store = Assignments(folder / "store", SLICES)
     owners = store.owners()
     store.close()
--- a/tests/test_unasked_answers.py
+++ b/tests/test_unasked_answers.py
@@ -173,7 +173,7 @@
                 got.append(repr(error).encode())
             writer.close()
         assert set(got) == {PONG}
-        assert await running.ended() == 0
+        assert await running.wait_for_exit() == 0
 
 
 async def test_counters_have_no_names_of_a_strangers_choice(tmp_path: Path) -> None:
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -211,7 +211,7 @@
                     settings=SETTINGS,
                     members=known,
                     relay=nullcontext(self.proxies),  # type: ignore[arg-type]
-                    book=nullcontext(self.fleet.registry),  # type: ignore[arg-type]
+                    registry=nullcontext(self.fleet.registry),  # type: ignore[arg-type]
                     address=self.address,
                     ready=None,
                 ) as running:
