--- a/lapispass/net/acceptor.py
+++ b/lapispass/net/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts connections at a listening socket, whatever `accept` fails with."""
+"""Accepts connections at a listening socket and recovers from all errors of accept(2)."""
 
 from __future__ import annotations
 
@@ -19,38 +19,38 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 
-RETRY_PAUSE_US = 5_000  # before the next attempt, where there is no room or accept fails again and again
-ATTEMPTS = 8  # that fail in a row, before a pause
+RETRY_PAUSE_US = 5_000  # before the next attempt, if there is no room or accept fails repeatedly
+ATTEMPTS = 8  # failed attempts in a row before a pause
 DESCRIPTOR_WAIT_US = (
     300_000  # without a descriptor, before `on_exhausted` is called, and between two such calls
 )
 
 
 def listen_at(address: str, backlog: int) -> socket.socket:
-    """A socket that listens at `host:port`; a ValueError where that is no address."""
+    """A socket that listens at `host:port`; raises ValueError for an invalid address."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     return ResilientSocket.adopt(socket.create_server((host, port), family=family, backlog=backlog))
 
 
 async def listen_with_retries(address: str, backlog: int) -> socket.socket:
-    """As `listen_at`. An address that cannot be had for a moment, as while a former process ends, is tried
-    for a while."""
+    """Like `listen_at`, but retries for a while if the address is temporarily unavailable, as it is while a
+    previous process exits."""
     return await retry(lambda: listen_at(address, backlog), _is_transient)
 
 
 async def bound_address(listener: socket.socket) -> str:
-    """The `host:port` that a listener has got."""
+    """The `host:port` that a listener is bound to."""
     return await retry(lambda: "{}:{}".format(*listener.getsockname()[:2]), _is_transient)
 
 
 def _is_transient(error: Exception) -> bool:
-    """Whether a further attempt at an address may succeed."""
+    """Whether another attempt to use an address may succeed."""
     return isinstance(error, OSError) and error.errno in momentary.LOCAL
 
 
 def stream_protocols(serve: Serve, read_bytes: int) -> ProtocolFactory:
-    """A factory of protocols that serve each connection by its streams, in a task of its own."""
+    """A factory of protocols that call `serve` with the streams of each connection, in a task of its own."""
 
     def protocol() -> asyncio.StreamReaderProtocol:
         loop = asyncio.get_running_loop()
@@ -60,13 +60,15 @@
 
 
 class Acceptor:
-    """Gives each connection a protocol.
+    """Accepts connections and gives each a protocol.
 
-    asyncio's own server accepts nothing for a second where descriptors or memory have run out for a moment,
-    and answers on new connections come that late. Here the next attempt follows at once, and after `ATTEMPTS`
-    in a row `PAUSE_US` later: the last ones of a long queue wait for every pause before them. An error that
-    is no shortage is that of one connection, which the system has dropped already (accept(2) asks to treat
-    such errors like EAGAIN).
+    After a temporary shortage of descriptors or memory, asyncio's own server accepts nothing for a second,
+    which delays answers on new connections as much. This class retries at once, and with a pause of
+    `RETRY_PAUSE_US` after `ATTEMPTS` failures in a row. The pause is short, since the last connections of a
+    long queue wait for every pause before them.
+
+    Any other error belongs to a single connection, which the system has dropped already: accept(2) asks to
+    treat such errors like EAGAIN.
     """
 
     def __init__(
@@ -84,10 +86,12 @@
         max_read_bytes: int | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        """`name` begins the names of the counters. Without `has_room`, `make_room` is asked for each
-        connection that waits; where it makes none, the connection waits on. `on_exhausted` may free a
-        descriptor of this process, once it has had none for a while. `max_read_bytes` bounds the bytes that
-        one connection gives at a time, until others have their turn."""
+        """`name` is the prefix of the counters' names.
+
+        While `has_room` is false, `make_room` is called for each waiting connection; if it returns false, the
+        connection stays in the queue. `on_exhausted` is called after the process was without a free
+        descriptor for a while, and may free one. `max_read_bytes` bounds the bytes read from a connection at
+        a time, before the others are served."""
         listener.setblocking(False)
         self.listener, self.protocol, self.name, self.tls = listener, protocol, name, tls
         self.accept_batch, self.max_read_bytes = accept_batch, max_read_bytes
@@ -96,18 +100,20 @@
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
         self.pause: asyncio.TimerHandle | None = None
-        self.failed = 0  # attempts in a row
-        self.exhausted_since: float | None = None  # without a descriptor, and nothing was freed since
+        self.failed = 0  # attempts that failed in a row
+        self.exhausted_since: float | None = (
+            None  # since when there is no free descriptor, or since the last `on_exhausted`
+        )
         self.closed = False
         self.loop.add_reader(listener.fileno(), self._ready)
 
     @property
     def sockets(self) -> tuple[socket.socket, ...]:
-        """As `asyncio.Server.sockets`."""
+        """Like `asyncio.Server.sockets`."""
         return () if self.closed else (self.listener,)
 
     def stop(self) -> None:
-        """Accepts no more; the listening socket stays open."""
+        """Stops accepting; the listening socket stays open."""
         if self.closed:
             return
         self.closed = True
@@ -116,20 +122,20 @@
         self.loop.remove_reader(self.listener.fileno())
 
     def close(self, last: int = 0) -> None:
-        """Stops listening; connections that stand go on.
+        """Stops listening; established connections are kept.
 
-        Up to `last` connections that wait in the queue are accepted first: what was written on them would be
-        lost with the listening socket.
+        Up to `last` connections in the accept queue are accepted first: closing the listening socket would
+        reset them, and the requests already written to them would be lost.
         """
         self.stop()
         if self.listener.fileno() >= 0:
             self._accept_waiting(last)
         self.listener.close()
 
-    def _accept_waiting(self, most: int) -> None:
-        """So many of the connections in the queue, whether there is room or not."""
+    def _accept_waiting(self, limit: int) -> None:
+        """Accepts up to `limit` connections from the queue, whether there is room or not."""
         failed = 0
-        while most > 0 and failed < ATTEMPTS:
+        while limit > 0 and failed < ATTEMPTS:
             try:
                 connection, _ = self.listener.accept()
             except BlockingIOError:
@@ -138,15 +144,15 @@
                 self._log_failure(error)
                 failed += 1
                 continue
-            most, failed = most - 1, 0
+            limit, failed = limit - 1, 0
             self._start(connection)
 
     def _connection_waits(self) -> bool:
-        """Whether a connection waits in the queue."""
+        """Whether there is a connection in the accept queue."""
         return is_readable(self.listener.fileno())
 
     def _ready(self) -> None:
-        """Connections wait in the queue: takes so many of them, that other work has its turn."""
+        """Accepts at most `accept_batch` connections, so that other work is not delayed."""
         for _ in range(self.accept_batch):
             if not self.has_room():
                 if not self._connection_waits():
@@ -181,7 +187,7 @@
         self.log.rate_limited("accept failed", why=name)
 
     def _accept_failed(self, error: OSError) -> None:
-        """accept(2) has failed, perhaps not for the first time in a row."""
+        """Handles an error of accept(2) and counts it among those in a row."""
         self._log_failure(error)
         self.failed += 1
         if error.errno == errno.EMFILE:
@@ -190,7 +196,7 @@
             self.exhausted_since = None
 
     def _without_descriptor(self) -> None:
-        """A shortage that passes must not cost other clients their connections."""
+        """Calls `on_exhausted` only if the shortage lasts: a short one must not cost clients a connection."""
         now = self.loop.time()
         if self.exhausted_since is None:
             self.exhausted_since = now
@@ -207,9 +213,9 @@
         self.loop.add_reader(self.listener.fileno(), self._ready)
 
     async def _run(self, connection: socket.socket) -> None:
-        """Sets up one connection; its protocol has it from there."""
+        """Sets up one connection and hands it to its protocol."""
         try:
             await self.loop.connect_accepted_socket(self.protocol, connection, ssl=self.tls)
-        except OSError as error:  # it is gone already, or its TLS handshake failed
+        except OSError as error:  # the connection is gone already, or its TLS handshake failed
             connection.close()
             self._log_failure(error)
--- a/lapispass/net/call_failures.py
+++ b/lapispass/net/call_failures.py
@@ -1,4 +1,4 @@
-"""System calls of this process that failed for a moment and were made good: counted, and logged by kind."""
+"""Counts and logs transient failures of system calls that the program has recovered from."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def note(call: str, error: OSError) -> None:
-    """One call has failed; nothing is owed for it."""
+    """Records a failed call; the caller has already handled it."""
     name = errno.errorcode.get(error.errno or 0, str(error.errno))
     _counted[f"system.{call}.{name}"] += 1
     _log.rate_limited("call failed", kind=f"{call} {name}", call=call, why=name)
 
 
 def counted() -> dict[str, int]:
-    """How many have failed since the process began, by call and errno."""
+    """Failures since the start of the process, by call and errno."""
     return _counted.fields()
--- a/lapispass/net/client_connection.py
+++ b/lapispass/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client of the listening address: what has come from it, until when it may stay, and why it ended."""
+"""One connection at the listening address: its input, its deadline, and why it ended."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
 
 class CloseReason(StrEnum):
-    """Why a connection ended. The names are those of the counters, the values those of the log."""
+    """Why a connection ended. The names are used in counters, the values in log lines."""
 
-    PEER = "ended by the peer"
-    SILENT = "neither joined nor asked in time"
-    UNFINISHED = "message not whole in time"
-    UNREADABLE = "unreadable"
-    TOO_LONG = "line without an end"
-    UNREAD = "answers left unread"
-    CROWDED_OUT = "crowded out"
-    PROCESS_ENDS = "the process ends"
-    BROKEN = "broken"
-    FAULT = "fault"
+    PEER = "closed by the peer"
+    SILENT = "neither joined nor sent a request in time"
+    UNFINISHED = "message not completed in time"
+    UNREADABLE = "malformed message"
+    TOO_LONG = "line too long"
+    UNREAD = "answers not read in time"
+    CROWDED_OUT = "evicted to make room"
+    PROCESS_ENDS = "process shutting down"
+    BROKEN = "connection error"
+    FAULT = "internal error"
 
 
 class ConnectionEnded(Exception):
-    """The connection ends for this reason; `detail` is for the log alone, it may be a stranger's text."""
+    """The connection ends for `reason`. `detail` is only for the log: it may hold text of any client."""
 
     def __init__(self, reason: CloseReason, detail: str = "") -> None:
         super().__init__(detail)
@@ -38,7 +38,7 @@
 
 
 class ClientConnection:
-    """One client, and what is known of it."""
+    """The state of one client's connection."""
 
     def __init__(
         self, number: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, limits: Limits
@@ -46,30 +46,32 @@
         self.number, self.reader, self.writer, self.limits = number, reader, writer, limits
         self.loop = asyncio.get_running_loop()
         self.lines = LineSplitter(limits.message_bytes)
-        self.zone: str | None = None  # once it has joined
-        self.unreadable_in_a_row = 0  # lines since the last sound one
-        self.pings = 0  # asked
-        self.unanswered = 0  # of these
+        self.zone: str | None = None  # set once it has joined
+        self.unreadable_in_a_row = 0  # malformed lines since the last valid one
+        self.pings = 0  # received
+        self.unanswered = 0  # pings that are not answered yet
         self.opened_at = self.last_data_at = self.message_began_at = self.loop.time()
-        self.closing: CloseReason | None = None  # why it is to end as soon as what has come is answered
-        self.deadline_passed = False  # its time was over once, and what had come then was read
-        self.rejected = False  # it has been told so, and has a moment to read it
+        self.closing: CloseReason | None = (
+            None  # set once it is to be closed, after its pending input is answered
+        )
+        self.deadline_passed = False  # the deadline has passed once, and the input that had arrived was read
+        self.rejected = False  # a rejection was sent, and the client has a moment to read it
         self.read_timeout: asyncio.Timeout | None = None
 
     @property
     def unfinished(self) -> bool:
-        """Whether a message comes in pieces."""
+        """Whether an incomplete message has been received."""
         return bool(self.lines.unfinished)
 
     def silent_us(self) -> int:
-        """For how long nothing has come."""
+        """The time since the last bytes were received."""
         return int((self.loop.time() - self.last_data_at) * 1e6)
 
     def deadline(self) -> float | None:
-        """When it is closed if nothing comes, in seconds of the loop's clock; None where it may be silent.
+        """When it is closed without further input, by the loop's clock; None if it may stay idle.
 
-        Whoever has asked once may stay: it may ask again on the connection that it has, and would find it
-        closed in that instant. It goes when its place is needed (`Collectors.make_room`).
+        A client that has sent a request may stay: it may send the next one at the very moment in which the
+        connection would be closed. It is evicted only if its place is needed (`Collectors.make_room`).
         """
         if self.closing is not None:
             return self.loop.time()
@@ -82,18 +84,18 @@
         return self.opened_at + self.limits.join_us / 1e6
 
     def reason(self) -> CloseReason:
-        """Why its time is over."""
+        """Why the connection has reached its deadline."""
         if self.closing is not None:
             return self.closing
         return CloseReason.UNFINISHED if self.unfinished else CloseReason.SILENT
 
     async def read(self) -> bytes:
-        """The next bytes; none at the end of the stream.
+        """Returns the next bytes; none at the end of the stream.
 
-        Raises `Ended` once its time is over, and nothing has come meanwhile.
+        Raises `ConnectionEnded` after the deadline if no input has arrived meanwhile.
         """
-        # Guards the end of a process against clients that go on asking: a read that finds something never
-        # waits, and its time is never over.
+        # A read that finds input never waits, so it never times out. Clients that keep sending requests would
+        # otherwise prevent the process from ending.
         if self.closing is not None:
             piece = await self._read_last()
         else:
@@ -109,16 +111,16 @@
                 return await self.reader.read(self.limits.quantum_bytes)
         except TimeoutError:
             if not waiting.expired():
-                raise  # the connection's own (ETIMEDOUT)
+                raise  # an error of the connection (ETIMEDOUT)
             return await self._read_last()
         finally:
             self.read_timeout = None
 
     async def _read_last(self) -> bytes:
-        """What has come although its time is over, once; then it ends.
+        """Returns, once, the input that arrived before the deadline; then ends the connection.
 
-        Guards against a request that is read and dropped: it may come between this decision and the close.
-        From here on what comes stays in the system's buffer, and what was read already is handled.
+        A request may arrive between this decision and the close; it must not be read and then dropped. From
+        here on, new input stays in the system's buffer, and what was already read is handled.
         """
         if not self.deadline_passed:
             self.deadline_passed = True
@@ -129,7 +131,7 @@
                 return piece
         self._pause_reading()
         if unread(self.reader):
-            # This does not wait, and lets the transport read on.
+            # This does not wait, but it resumes reading in the transport.
             piece = await self.reader.read(self.limits.quantum_bytes)
             self._pause_reading()
             return piece
@@ -139,41 +141,43 @@
         self.writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     def end_soon(self, reason: CloseReason) -> None:
-        """Has it closed once what has come is answered; at once where it has been rejected already."""
+        """Closes the connection once its pending input is answered; at once if it was already rejected."""
         self.closing = self.closing or reason
         if self.rejected:
             self.writer.transport.abort()
         if self.read_timeout is not None:
-            with suppress(RuntimeError):  # its time is over already
+            with suppress(RuntimeError):  # it has already timed out
                 self.read_timeout.reschedule(self.loop.time())
 
     def note_ping(self) -> None:
-        """A PING: it is to be answered, and the connection may be idle."""
+        """Records a PING, which is to be answered; the connection may stay idle from now on."""
         self.pings += 1
         self.unanswered += 1
         self.deadline_passed = self.closing is not None
 
     def write_answers(self) -> None:
-        """Answers what was asked, by one write: one for each costs a system call, and others their time."""
+        """Answers all pending pings in one write: a system call for each would delay other connections."""
         if self.unanswered:
             self.writer.write(ANSWER * self.unanswered)
             self.unanswered = 0
 
     def note_message_start(self) -> None:
-        """The message that comes now, if any, has begun with the last bytes; the first one has the time from
-        connecting on."""
+        """Starts the time limit of the current message with the last bytes received.
+
+        That of the first message starts with the connection.
+        """
         self.message_began_at = self.last_data_at if self.pings else self.opened_at
 
     def since_last_data_us(self) -> int | None:
-        """How long ago its last bytes came to this machine; None where the system does not tell."""
+        """The time since its last bytes reached this machine; None if the system does not report it."""
         return tcp_info.since_last_data_us(self.writer.get_extra_info("socket"))
 
     def unsent(self) -> int:
-        """Bytes that were written and are not in the system's hands yet."""
+        """The number of written bytes that the system has not taken yet."""
         return self.writer.transport.get_write_buffer_size()
 
     def fields(self) -> dict[str, object]:
-        """What a log line says of it."""
+        """Its fields in a log line."""
         now = self.loop.time()
         return {
             "connection": self.number,
--- a/lapispass/net/clock.py
+++ b/lapispass/net/clock.py
@@ -1,4 +1,4 @@
-"""The time, as every front hands it to the decisions."""
+"""The clock whose time the network code passes to the decision logic."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 
 
 class Clock:
-    """Unix time in microseconds, taken once; from there on it runs evenly, whatever the system's does."""
+    """Unix time in microseconds: the wall clock at the start, advanced by the monotonic clock.
+
+    Later steps of the wall clock do not change it.
+    """
 
     def __init__(self) -> None:
         self.ahead_ns = self.wall_ahead_ns = time.time_ns() - time.monotonic_ns()
 
     def wall_step_us(self) -> int:
-        """By how much the system's wall clock was stepped since the last call; for the log alone."""
+        """How far the wall clock was stepped since the last call; only for logging."""
         ahead_ns = time.time_ns() - time.monotonic_ns()
         step_us = (ahead_ns - self.wall_ahead_ns) // 1000
         self.wall_ahead_ns = ahead_ns
--- a/lapispass/net/collectors.py
+++ b/lapispass/net/collectors.py
@@ -1,7 +1,8 @@
-"""The listening side: collectors join and forward reports, anyone may ask PING, others are rejected.
+"""The listening server: collectors join and forward reports, any client may send PING.
 
-A PING that was read is answered before its connection is closed, whatever ends it: lack of room, the end of
-the process. Nobody is told what it has not asked for: only what cannot be read is rejected with a message.
+A PING that was read is answered before its connection is closed, whatever the reason for the close (lack of
+room, the end of the process). A client is never sent anything that it did not ask for; only malformed input
+is answered with a rejection.
 """
 
 from __future__ import annotations
@@ -23,8 +24,8 @@
 from lapispass.net.log import PartLogger
 from lapispass.net.streams import flush, unread
 
-# What no line of this wire holds. A spoilt report is still text; behind such bytes no message begins
-# anywhere.
+# Bytes that no valid message contains. A malformed report is still text; after such bytes, the start of the
+# next message cannot be found.
 FORBIDDEN_BYTES = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f]")
 REJECTION = b"NACK why=unreadable\r\n"
 REJECTED_REASONS = frozenset(
@@ -39,7 +40,7 @@
 
 
 class Collectors:
-    """Takes connections at one address; each is in the hands of one task from its first byte to its end."""
+    """Serves the connections at one address, each by a task of its own from the first byte to the close."""
 
     def __init__(
         self,
@@ -52,17 +53,15 @@
         self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
         self.figures = figures or IntervalFigures(limits.late_us)
         self.log = PartLogger("collectors", limits.log_every_us)
-        self.connections: dict[ClientConnection, None] = {}  # in the order of last use
+        self.connections: dict[ClientConnection, None] = {}  # least recently used first
         self.tasks: set[asyncio.Task[None]] = set()
         self.acceptor: Acceptor | None = None
-        self.room_wait_since: float | None = (
-            None  # since when one waits that cannot be accepted for lack of room
-        )
-        self.overdue = 0  # of those that wait for room, how many have waited for long enough
+        self.room_wait_since: float | None = None  # when the first of the connections without room arrived
+        self.overdue = 0  # how many waiting connections have exceeded `Limits.room_wait_us`
         self.closed = False
 
     async def listen(self, address: str) -> None:
-        """Accepts as many connections as there is room for; the others wait in the system's queue."""
+        """Accepts connections while there is room; the others wait in the system's accept queue."""
         self.acceptor = Acceptor(
             listen_at(address, self.limits.backlog),
             stream_protocols(self.serve, self.limits.quantum_bytes),
@@ -77,45 +76,47 @@
         )
 
     def stop_listening(self) -> None:
-        """Accepts what waits in the queue, then no more."""
+        """Accepts the connections in the accept queue, then stops listening."""
         if self.acceptor:
             self.acceptor.close(self.limits.connections)
 
     async def drain(self) -> None:
-        """Serves on while clients ask, for `Limits.drain_us` at most: they may not know yet that the process
-        ends."""
-        loop, quiet_s = asyncio.get_running_loop(), self.limits.drain_idle_us / 1e6
+        """Keeps serving while clients send requests, for at most `Limits.drain_us`.
+
+        They may not know yet that the process ends.
+        """
+        loop, idle_s = asyncio.get_running_loop(), self.limits.drain_idle_us / 1e6
         until = loop.time() + self.limits.drain_us / 1e6
         while self.is_asked() and loop.time() < until:
-            await asyncio.sleep(quiet_s / 2)
+            await asyncio.sleep(idle_s / 2)
 
     def is_asked(self) -> bool:
-        """Whether a client has come, or said something, a moment ago."""
+        """Whether a client has connected or sent something within `Limits.drain_idle_us`."""
         if self.acceptor and self.acceptor.tasks:
             return True
         clients = (connection for connection in self.connections if connection.zone is None)
         return any(connection.silent_us() < self.limits.drain_idle_us for connection in clients)
 
     def close(self) -> None:
-        """Listens no more; connections end as soon as what has come on them is answered."""
+        """Stops listening; connections are closed once their pending input is answered."""
         self.closed = True
         self.stop_listening()
         for connection in self.connections:
             connection.end_soon(CloseReason.PROCESS_ENDS)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The life of a connection."""
+        """Serves one connection from its start to its close."""
         self.tasks.add(task := asyncio.current_task())  # type: ignore[arg-type]
         self.counters["collectors.opened"] += 1
         connection = ClientConnection(self.counters["collectors.opened"], reader, writer, self.limits)
-        writer.transport.set_write_buffer_limits(high=self.limits.unsent_bytes)  # from which on `drain` waits
-        if self.closed:  # accepted just before the end
+        writer.transport.set_write_buffer_limits(high=self.limits.unsent_bytes)  # beyond which `drain` waits
+        if self.closed:  # accepted just before the close
             connection.end_soon(CloseReason.PROCESS_ENDS)
         self.connections[connection] = None
         end = ConnectionEnded(CloseReason.FAULT)
         try:
             end = await self.read_until_end(connection)
-        except asyncio.CancelledError:  # asyncio would log a trace of a task that was cancelled
+        except asyncio.CancelledError:  # asyncio would log a traceback for the cancelled task
             end = ConnectionEnded(CloseReason.PROCESS_ENDS)
         finally:
             try:
@@ -127,7 +128,7 @@
                 writer.transport.abort()
 
     async def read_until_end(self, connection: ClientConnection) -> ConnectionEnded:
-        """Takes what comes until the connection ends; why it does."""
+        """Handles input until the connection ends; returns why it did."""
         try:
             while piece := await connection.read():
                 self.mark_used(connection)
@@ -136,7 +137,7 @@
                 if connection.pings > answered:
                     self.note_answer(connection)
                 await self.wait_until_read(connection)
-                if unread(connection.reader):  # else the next read waits
+                if unread(connection.reader):  # otherwise the next read waits
                     await asyncio.sleep(0)
         except ConnectionEnded as end:
             return end
@@ -145,18 +146,20 @@
         except OSError as error:
             self.counters["collectors.broken"] += 1
             return ConnectionEnded(CloseReason.BROKEN, f"{type(error).__name__} {error}")
-        except Exception:  # a fault of our own costs this connection, not the controller
+        except Exception:  # an internal error costs this connection, not the controller
             self.counters["collectors.faults"] += 1
             self.log.failed("connection failed", **connection.fields())
             return ConnectionEnded(CloseReason.FAULT)
         return ConnectionEnded(CloseReason.PEER)
 
     async def finish(self, connection: ClientConnection, end: ConnectionEnded) -> None:
-        """Sends what is still unsent. Whoever is rejected hears so, and has a moment to read it."""
-        told = end.reason in REJECTED_REASONS and connection.zone is None  # a collector is never written to
+        """Flushes unsent bytes. A rejected client is sent a rejection, and has a moment to read it."""
+        is_notified = (
+            end.reason in REJECTED_REASONS and connection.zone is None
+        )  # a collector is never written to
         if end.reason in REJECTED_REASONS or end.reason is CloseReason.SILENT:
             self.counters["collectors.turned_away"] += 1
-        if told:
+        if is_notified:
             connection.writer.write(REJECTION)
         unsent = await flush(connection.writer, self.limits.flush_us)
         self.counters["collectors.unsent_bytes"] += unsent
@@ -169,12 +172,12 @@
             unsent=unsent,
             **connection.fields(),
         )
-        if told and connection.closing is None:
+        if is_notified and connection.closing is None:
             await self.linger(connection)
 
     async def linger(self, connection: ClientConnection) -> None:
-        """Reads on for a moment after a rejection: a close with bytes unread is a reset, which may overtake
-        what was written."""
+        """Keeps reading for a moment after a rejection: closing with unread input resets the connection, and
+        the reset may overtake the rejection."""
         connection.rejected = True
         left = self.limits.read_bytes
         try:
@@ -185,22 +188,22 @@
             pass
 
     def handle_bytes(self, piece: bytes, connection: ClientConnection) -> None:
-        """Handles the lines that a piece ends."""
-        begins = not connection.unfinished
+        """Handles the lines that `piece` completes."""
+        message_begins = not connection.unfinished
         odd = FORBIDDEN_BYTES.search(piece)
         try:
             for line in connection.lines.split(memoryview(piece)[: odd.start()] if odd else piece):
-                begins = True
+                message_begins = True
                 self.handle_line(line, connection)
         finally:
             connection.write_answers()
-        if begins:
+        if message_begins:
             connection.note_message_start()
         if odd:
-            raise ConnectionEnded(CloseReason.UNREADABLE, f"byte {odd[0][0]}, which no message holds")
+            raise ConnectionEnded(CloseReason.UNREADABLE, f"byte {odd[0][0]} is not allowed in a message")
 
     def note_answer(self, connection: ClientConnection) -> None:
-        """Measures how long ago the bytes came that were just answered, in the system's queues too."""
+        """Records how long the input just answered had waited, including the time in the system's queues."""
         took_us = connection.since_last_data_us()
         if took_us is not None and self.figures.answered(took_us):
             self.counters["collectors.answered_late"] += 1
@@ -209,15 +212,15 @@
             )
 
     def unsent_bytes(self) -> int:
-        """Answers that wait in this process, on all connections."""
+        """The bytes of unsent answers on all connections."""
         return sum(connection.unsent() for connection in self.connections)
 
     def waiting_to_be_accepted(self) -> int | None:
-        """Connections in the listening socket's queue; None where that is not known."""
+        """The number of connections in the accept queue; None if it is not known."""
         return tcp_info.waiting_to_be_accepted(self.acceptor.listener) if self.acceptor else None
 
     async def wait_until_read(self, connection: ClientConnection) -> None:
-        """Reads no further while answers wait to be read; whoever leaves them for too long is cut off."""
+        """Waits until the client has read its answers; ends the connection if that takes too long."""
         transport = connection.writer.transport
         if transport.get_write_buffer_size() <= self.limits.unsent_bytes:
             return
@@ -226,12 +229,12 @@
                 await connection.writer.drain()
         except TimeoutError:
             if not waiting.expired():
-                raise  # the connection's own (ETIMEDOUT)
+                raise  # an error of the connection (ETIMEDOUT)
         if transport.get_write_buffer_size() > self.limits.unsent_bytes:
             raise ConnectionEnded(CloseReason.UNREAD)
 
     def handle_line(self, line: memoryview, connection: ClientConnection) -> None:
-        """Handles one line: a spoilt report costs itself alone; a stream with nothing sound left is ended."""
+        """Handles one line. A malformed report is skipped; too many in a row end the connection."""
         if line == b"PING":
             self.counters["collectors.pings"] += 1
             connection.note_ping()
@@ -239,28 +242,28 @@
         if not line:
             return
         try:
-            kind, told = self.codec.report(line, connection.zone is not None)
+            kind, message = self.codec.report(line, connection.zone is not None)
         except WireError as error:
             self.counters["collectors.unreadable"] += 1
-            self.log.rate_limited("line unreadable", why=error, **connection.fields())
+            self.log.rate_limited("malformed line", why=error, **connection.fields())
             connection.unreadable_in_a_row += 1
             if connection.zone is None or connection.unreadable_in_a_row > self.limits.unreadable_lines:
                 raise ConnectionEnded(CloseReason.UNREADABLE, str(error)) from None
             return
         connection.unreadable_in_a_row = 0
         self.counters[f"collectors.{kind}"] += 1
-        if isinstance(told, str):
-            connection.zone = told
+        if isinstance(message, str):
+            connection.zone = message
         else:
-            self.tell(told)
+            self.tell(message)
 
     def mark_used(self, connection: ClientConnection) -> None:
-        """Last in the order of use; one that is being ended does not come back."""
+        """Moves the connection to the end of the order of use, unless it is being closed."""
         if connection in self.connections and connection.closing is None:
             self.connections[connection] = self.connections.pop(connection)
 
     def has_room(self) -> bool:
-        """Whether a further connection can be accepted as it is."""
+        """Whether another connection can be accepted without evicting one."""
         if self.held_descriptors() >= self.limits.connections:
             return False
         if self.room_wait_since is not None and not self.waiting_to_be_accepted():
@@ -268,31 +271,31 @@
         return True
 
     def held_descriptors(self) -> int:
-        """Connections that hold a descriptor, those that are being set up or ended among them."""
+        """Connections that hold a descriptor, including those being set up or closed."""
         return len(self.tasks) + (len(self.acceptor.tasks) if self.acceptor else 0)
 
     def make_room(self) -> bool:
-        """Ends a client for the one that waits to be accepted; False where none can go just now.
+        """Evicts a client for one in the accept queue; False if none can be evicted now.
 
-        Guards against clients that connect and stay, with half a message too. Guards those that have just
-        come or whose message comes in pieces: where all are such, those in the queue wait, for
-        `Limits.room_wait_us` at most, all of them at the same time.
+        Clients that connect and stay, also with an incomplete message, must not keep others out. But a client
+        that has just connected, or whose message arrives in pieces, is spared. If all clients are of this
+        kind, those in the queue wait, all at the same time, for at most `Limits.room_wait_us`.
         """
         if self.held_descriptors() >= self.limits.connections + self.limits.accept_batch:
-            return False  # those that are being ended still hold their descriptors
+            return False  # connections being closed still hold their descriptors
         now = asyncio.get_running_loop().time()
         self.note_overdue(now)
-        if (leaving := self.evictable()) is not None:
-            self.evict(leaving)
+        if (client := self.evictable()) is not None:
+            self.evict(client)
         elif not self.overdue or not self.evict_longest_silent():
             return False
         self.overdue = max(0, self.overdue - 1)
-        if (self.waiting_to_be_accepted() or 0) <= 1:  # the one for whom there is room now
+        if (self.waiting_to_be_accepted() or 0) <= 1:  # only the one that there is room for now
             self.end_room_wait()
         return True
 
     def note_overdue(self, now: float) -> None:
-        """All that stand in the queue `Limits.room_wait_us` after the first one came are let in."""
+        """Lets in all connections that are in the queue `Limits.room_wait_us` after the first one arrived."""
         if self.room_wait_since is None:
             self.room_wait_since = now
         elif now - self.room_wait_since >= self.limits.room_wait_us / 1e6:
@@ -300,11 +303,11 @@
             self.room_wait_since = now
 
     def end_room_wait(self) -> None:
-        """The next one that finds no room begins a wait of its own."""
+        """Resets the wait for room; the next connection that finds none starts a new one."""
         self.room_wait_since, self.overdue = None, 0
 
     def evictable(self) -> ClientConnection | None:
-        """An idle client, or one whose message has been left unfinished; the longest silent first."""
+        """The idle client, or else the one with a stalled message, that has been silent longest."""
         idle = next((connection for connection in self.candidates() if self.is_idle(connection)), None)
         if idle is not None:
             return idle
@@ -312,27 +315,27 @@
         return silent if silent is not None and silent.silent_us() >= self.limits.room_wait_us else None
 
     def candidates(self) -> Iterator[ClientConnection]:
-        """Clients that may be ended, the longest silent first."""
-        return (one for one in self.connections if one.zone is None and one.closing is None)
+        """Clients that may be evicted, the longest silent first."""
+        return (client for client in self.connections if client.zone is None and client.closing is None)
 
     def is_idle(self, connection: ClientConnection) -> bool:
-        """Whether nothing is under way on it."""
+        """Whether it has no incomplete message and has been silent for long enough."""
         return not connection.unfinished and connection.silent_us() >= self.limits.eviction_grace_us
 
     def evict_longest_silent(self) -> bool:
-        """Ends the client that was silent for longest, whatever it is about; a collector, where there is no
-        other. False where all are being ended already."""
-        quiet = next(self.candidates(), None)
-        if quiet is None:
-            quiet = next((connection for connection in self.connections if connection.closing is None), None)
-        if quiet is None:
+        """Evicts the client that has been silent longest, whatever it is doing, or a collector if there is no
+        other client. False if all connections are being closed already."""
+        client = next(self.candidates(), None)
+        if client is None:
+            client = next((connection for connection in self.connections if connection.closing is None), None)
+        if client is None:
             return False
-        self.evict(quiet)
+        self.evict(client)
         return True
 
     def evict(self, connection: ClientConnection) -> None:
-        """Ends a client whose place is needed. What it has asked is answered first."""
+        """Closes a client whose place is needed. Its pending requests are answered first."""
         self.counters["collectors.crowded_out"] += 1
-        self.log.rate_limited("connection crowded out", most=self.limits.connections, **connection.fields())
+        self.log.rate_limited("connection evicted", most=self.limits.connections, **connection.fields())
         del self.connections[connection]
         connection.end_soon(CloseReason.CROWDED_OUT)
--- a/lapispass/net/counters.py
+++ b/lapispass/net/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what is taken in, sent and answered; printed on a signal and at the end."""
+"""Event counters of the process, logged on SIGUSR1 and at the end."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Counters(Counter[str]):
-    """One number a name; the first part of a name says whose it is, as in `relay.calls`."""
+    """Counters by name. The prefix of a name is the component that it belongs to, as in `relay.calls`."""
 
     def fields(self) -> dict[str, int]:
         return dict(sorted(self.items()))
--- a/lapispass/net/dial.py
+++ b/lapispass/net/dial.py
@@ -1,4 +1,4 @@
-"""Opens a connection to an address, on a `ResilientSocket` where the address is a number."""
+"""Opens connections to an address: on a `ResilientSocket` if the host is numeric, else by asyncio."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def family_of(host: str) -> socket.AddressFamily | None:
-    """The family of a numeric address; None for a name."""
+    """The address family of a numeric host; None for a host name."""
     try:
         version = ipaddress.ip_address(host).version
     except ValueError:
@@ -20,7 +20,7 @@
 
 
 async def connected_socket(family: socket.AddressFamily, host: str, port: int) -> ResilientSocket:
-    """A socket on which connect(2) has ended; it is the caller's to close."""
+    """Returns a connected socket, which the caller has to close."""
     connection = ResilientSocket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
         connection.setblocking(False)
@@ -32,7 +32,7 @@
 
 
 async def open_transport(protocol: Callable[[], asyncio.Protocol], host: str, port: int) -> asyncio.Transport:
-    """A transport to `host:port` with its protocol. Raises the OSError of the attempt that failed."""
+    """Connects to `host:port`; raises the OSError of the failed attempt."""
     loop = asyncio.get_running_loop()
     family = family_of(host)
     if family is None:
--- a/lapispass/net/event_loop.py
+++ b/lapispass/net/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop of a process: registrations that are made again, and a close that raises nothing."""
+"""The event loop of a process, which survives transient failures of epoll_ctl(2) and close(2)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from lapispass.net.retrying_selector import RetryingSelector
 from lapispass.retry import retry_blocking
 
-SELF_PIPE = ("_ssock", "_csock")  # asyncio's own two sockets, by which signals wake the loop
+SELF_PIPE = ("_ssock", "_csock")  # the loop's own socket pair, by which signals wake it
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """asyncio's loop on a `RetryingSelector`; an error of close does not end the process by a fault."""
+    """asyncio's loop on a `RetryingSelector`; an error of close(2) does not end the process."""
 
     def __init__(self) -> None:
         super().__init__(RetryingSelector())
@@ -25,7 +25,7 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """An event loop. Its descriptors may not be had for a moment; a start must not fail for that."""
+    """Creates an event loop. A temporary lack of descriptors is retried, so that the start does not fail."""
     return retry_blocking(
         EventLoop, lambda error: isinstance(error, OSError) and error.errno in momentary.LOCAL
     )
--- a/lapispass/net/http.py
+++ b/lapispass/net/http.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client: h11 on asyncio streams. One `HttpConnection` is one connection."""
+"""An HTTP/1.1 client: h11 on asyncio streams, with time-outs, retries and endpoints that may move."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class InboxFull(EOFError):
-    """More was told than is taken in: the connection ends, and the next begins with all that stands."""
+    """The queue of events is full. The connection is closed, and the next one begins with a full snapshot."""
 
 
-# What a peer, the network or its silence can do to a connection; TimeoutError is an OSError too.
+# Failures of a connection that the peer or the network can cause. TimeoutError is an OSError, too.
 CONNECTION_ERRORS = (OSError, h11.RemoteProtocolError, asyncio.IncompleteReadError, EOFError)
 
 
 T = TypeVar("T")
 
-LOCAL_PAUSE_S = 0.01  # between attempts that failed on this machine: the peer has had no part in them
+LOCAL_PAUSE_S = 0.01  # between attempts that failed on this machine, without involving the peer
 
 
 async def within(
     wait_us: int, work: Awaitable[T], late_us: int, unwanted: Callable[[T], None] = lambda result: None
 ) -> T:
-    """What the work gives, or a TimeoutError.
+    """Awaits `work` for at most `wait_us`; raises TimeoutError.
 
-    Guards against taking our own standing still for the peer's silence: where the process was late by more
-    than `late_us`, what arrived meanwhile is read before the peer is given up.
+    A stall of this process must not be mistaken for a silent peer. If the time-out fires more than `late_us`
+    late, `work` gets another `late_us` to read what arrived meanwhile.
 
-    Guards descriptors, too: where the work was done in the instant in which whoever waits was ended, or gave
-    up, `unwanted` is handed what it gave. A connection that came up just then would stay open, and nobody's.
+    If `work` completes at the moment when the caller is cancelled or times out, its result is passed to
+    `unwanted`. Otherwise a connection opened just then would have no owner and stay open.
     """
     loop = asyncio.get_running_loop()
     task, taken = asyncio.ensure_future(work), False
@@ -48,7 +48,7 @@
         if not task.done() and loop.time() - until > late_us / 1e6:
             await asyncio.wait((task,), timeout=late_us / 1e6)
         if not task.done():
-            raise TimeoutError(f"nothing for {wait_us} us")
+            raise TimeoutError(f"no answer within {wait_us} us")
         taken = True
         return task.result()
     finally:
@@ -60,7 +60,7 @@
 
 
 class Backoff:
-    """Waits before a party is tried again: doubling, with jitter, never in step with others."""
+    """Exponential backoff with jitter between attempts, so that clients do not retry in step."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits, self.next_us = limits, limits.retry_min_us
@@ -74,11 +74,11 @@
 
 
 class IdleTimeout:
-    """Ends what a task waits for inside it with a TimeoutError once the peer has been quiet for too long.
+    """A context manager that raises TimeoutError in its body after the peer was idle for too long.
 
-    One timer serves a whole stream: `hear` only notes until when to wait, since a stream brings thousands of
-    pieces a second. Guards as `within` does: where the process was late by more than `late_us`, what arrived
-    meanwhile is read first.
+    One timer serves a whole stream: `extend` only stores the new deadline, since a stream brings thousands of
+    chunks a second. As in `within`, a stall of this process is not mistaken for an idle peer: if the timer
+    fires more than `late_us` late, what arrived meanwhile is read first.
     """
 
     def __init__(self, late_us: int) -> None:
@@ -86,7 +86,7 @@
         self.until, self.timer = 0.0, None
 
     def extend(self, wait_us: int) -> None:
-        """The peer has said something; it may be quiet for so long from now on."""
+        """Data has arrived: from now on the peer may be idle for `wait_us`."""
         self.until = self.loop.time() + wait_us / 1e6
         if self.timer is None or self.timer.when() > self.until:
             self._set(self.until)
@@ -118,35 +118,37 @@
 
 
 def connect_never_began(transport: asyncio.BaseTransport) -> bool:
-    """Whether connect gave EAGAIN or EINTR without a beginning: asyncio takes both for a connection that is
-    being made. One that was made and reset meanwhile has no peer any more either, but a port of its own.
+    """Whether connect(2) failed with EAGAIN or EINTR before it began.
+
+    asyncio takes both errors for a connection in progress. A connection that was established and reset in the
+    meantime has no peer address either, but it does have a local port.
     """
     sockname = transport.get_extra_info("sockname")
     return transport.get_extra_info("peername") is None and (not sockname or sockname[1] == 0)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """`host:port`; a ValueError where it is none."""
+    """Splits `host:port`; raises ValueError if the text is not of this form."""
     host, _, port = str(address).rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ValueError(f"no address: {address!r}")
+        raise ValueError(f"expected host:port, got {address!r}")
     return host.strip("[]"), int(port)
 
 
 class HttpConnection:
-    """A connection to one party; calls go one after the other."""
+    """A connection to one server, for one request at a time."""
 
     def __init__(self, reader: Reader, writer: asyncio.StreamWriter, address: str, limits: Limits) -> None:
         self.reader, self.writer, self.address, self.limits = reader, writer, address, limits
         self.state = h11.Connection(h11.CLIENT, max_incomplete_event_size=limits.answer_bytes)
-        self.watch_from: int | None = None  # the version that a watch was asked from, until its first line
+        self.watch_from: int | None = None  # the version that a watch started from, until its first line
 
     @classmethod
     async def open(cls, address: str, limits: Limits, wait_us: int | None = None) -> HttpConnection:
-        """A connection to `address`, within `wait_us` (`Limits.connect_us`).
+        """Connects to `address` within `wait_us` (default: `Limits.connect_us`).
 
-        Attempts that fail for a moment are made again within that time. Raises TimeoutError where the peer
-        does not answer, and the last error where no attempt could be made.
+        Transient errors are retried within that time. Raises TimeoutError if the peer does not answer, and
+        the last error if no attempt could be started.
         """
         dial = Dial(address, limits)
         try:
@@ -158,25 +160,25 @@
 
     @classmethod
     async def _dial(cls, address: str, limits: Limits) -> HttpConnection:
-        """One attempt."""
+        """Makes one attempt to connect."""
         loop = asyncio.get_running_loop()
         reader = Reader(limit=limits.read_bytes, loop=loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=loop)
         transport = await open_transport(lambda: protocol, *split_address(address))
-        link = cls(reader, asyncio.StreamWriter(transport, protocol, reader, loop), address, limits)
+        connection = cls(reader, asyncio.StreamWriter(transport, protocol, reader, loop), address, limits)
         if connect_never_began(transport):
-            link.close()
-            raise BlockingIOError(errno.EAGAIN, f"connect to {address} did not begin")
-        return link
+            connection.close()
+            raise BlockingIOError(errno.EAGAIN, f"connect to {address} could not be started")
+        return connection
 
     @property
     def usable(self) -> bool:
-        """False where the peer has ended it."""
+        """False after the peer has closed the connection or it has failed."""
         return not (self.reader.at_eof() or self.writer.is_closing() or self.reader.exception())
 
     @property
     def has_unrequested_data(self) -> bool:
-        """Whether something came that no call of ours asked for."""
+        """Whether bytes arrived that belong to no request of ours."""
         return self.reader.unread > 0
 
     async def send(
@@ -196,62 +198,62 @@
         while True:
             event = self.state.next_event()
             if event is h11.NEED_DATA:
-                self.state.receive_data(await self.reader.read(self.limits.read_bytes))  # none: the end
+                self.state.receive_data(await self.reader.read(self.limits.read_bytes))  # b"" at the end
             elif isinstance(event, h11.Event) and not isinstance(event, h11.ConnectionClosed):
                 return event
             else:
-                raise EOFError("the peer ended the connection")
+                raise EOFError("the peer closed the connection")
 
     async def answer(self) -> int:
-        """The status of the answer to the call just sent."""
+        """The status of the response to the request just sent."""
         while True:
             event = await self._next()
             if isinstance(event, h11.Response):
                 return event.status_code
 
     async def read_chunk(self) -> bytes | bytearray:
-        """The next of the body as it comes, in the buffer it was read into; none at its end."""
+        """The next chunk of the body, in the buffer that it was read into; empty at the end of the body."""
         event = await self._next()
         return event.data if isinstance(event, h11.Data) else b""
 
-    async def body(self, most: int, came: Callable[[], None] = lambda: None) -> bytes:
-        """The whole body; one that is longer counts as broken. `came` is told of each piece."""
+    async def body(self, max_bytes: int, received: Callable[[], None] = lambda: None) -> bytes:
+        """The whole body; an EOFError if it is longer than `max_bytes`. Calls `received` after each chunk."""
         whole = bytearray()
         while piece := await self.read_chunk():
-            came()
+            received()
             whole += piece
-            if len(whole) > most:
-                raise EOFError(f"more than {most} bytes")
+            if len(whole) > max_bytes:
+                raise EOFError(f"response body longer than {max_bytes} bytes")
         return bytes(whole)
 
     def start_next_call(self) -> bool:
-        """Makes ready for a further call, if both sides keep the connection."""
+        """Prepares the connection for another request; False if either side does not keep it open."""
         both = self.state.our_state is h11.DONE and self.state.their_state is h11.DONE
-        if both and not self.state.trailing_data[0]:  # what came unasked would pass for the next answer
+        if both and not self.state.trailing_data[0]:  # unrequested bytes would be taken for the next response
             self.state.start_next_cycle()
             return True
         return False
 
     def close(self) -> None:
-        """At once: nothing that is still unsent matters to anyone."""
+        """Closes the connection at once and drops unsent bytes, which nobody needs any more."""
         self.writer.transport.abort()
 
 
 class Dial:
-    """One connection to be made. `error` is why the last attempt that ended could not be made."""
+    """The attempts to make one connection. `error` is the local error of the last attempt that failed."""
 
     def __init__(self, address: str, limits: Limits) -> None:
         self.address, self.limits, self.loop = address, limits, asyncio.get_running_loop()
         self.error: OSError | None = None
-        self.attempt_began_at: float | None = None  # the attempt that is under way
+        self.attempt_began_at: float | None = None  # when the current attempt began
 
     def waits_for_peer(self) -> bool:
-        """Whether an attempt is under way for so long that the peer's silence is the reason."""
+        """Whether the current attempt has lasted so long that the peer's silence must be the reason."""
         least_s = self.limits.retry_max_us / 1e6
         return self.attempt_began_at is not None and self.loop.time() - self.attempt_began_at > least_s
 
     async def run(self) -> HttpConnection:
-        """Tries until the connection stands, or the peer is not to be had."""
+        """Tries until the connection is established, or fails for a reason that is not transient."""
         while True:
             self.attempt_began_at = self.loop.time()
             try:
@@ -264,11 +266,11 @@
 
 
 class Dialer:
-    """Opens connections to one party; an attempt that runs out of time gives the next one twice as long.
+    """Opens connections to one peer. Each attempt that times out doubles the time-out of the next one.
 
-    Guards against dials that take just over the limit (a first packet that is lost is sent again after a
-    second): with one limit for all attempts, none would ever come up. Behind the longest comes a short one
-    again: an attempt made into a cut may never come up, also when the cut is over.
+    With a constant time-out, a connection that takes slightly longer would never be established: for example,
+    a lost first packet is sent again only after a second. After the longest time-out the shortest one follows
+    again, since an attempt that began during a network cut may not succeed even when the cut is over.
     """
 
     def __init__(self, limits: Limits) -> None:
@@ -278,23 +280,23 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         try:
-            link = await HttpConnection.open(address, self.limits, self.wait_us)
+            connection = await HttpConnection.open(address, self.limits, self.wait_us)
         except TimeoutError:
             least_us, most_us = self.limits.connect_us, self.limits.connect_max_us
             self.wait_us = least_us if self.wait_us >= most_us else min(2 * self.wait_us, most_us)
             raise
         if loop.time() - began < self.limits.connect_us / 1e6:
             self.wait_us = self.limits.connect_us
-        return link
+        return connection
 
 
 class Endpoint:
-    """Where a party is reached.
-
-    After a move, the new place is tried until it stands; the old one serves meanwhile.
+    """The address of a peer that may move.
 
-    Guards against a move that happens while a connection to the old place is being made, or while the new one
-    does not answer yet: the party's stream would stay at the old place while that one gives signs of life.
+    After a move, the new address is tried until a connection is established; the old one is used meanwhile.
+    This also covers a move that happens while a connection to the old address is being made, or while the new
+    address does not answer yet. Otherwise the stream would stay at the old address for as long as that one
+    sends heartbeats.
     """
 
     def __init__(
@@ -310,12 +312,12 @@
             dial,
             switch,
         )
-        self.standby: HttpConnection | None = None  # stands already, and is taken with the next `connection`
-        self.connected_address = ""  # the place of the connection that was taken last
+        self.standby: HttpConnection | None = None  # already established; returned by the next `connect`
+        self.connected_address = ""  # the address of the connection returned last
         self.address_changed = asyncio.Event()
 
     async def connect(self) -> HttpConnection:
-        """A new connection: the one that stands already, if it still does."""
+        """Returns the standby connection if it is still usable, and otherwise a new one."""
         connection, self.standby = self.standby, None
         if connection and not (connection.usable and connection.address == self.address):
             connection.close()
@@ -325,9 +327,9 @@
         return connection
 
     async def renew(self) -> None:
-        """A further connection; once it stands, `switch` has the stream begin anew over it."""
+        """Opens a further connection; `switch` then restarts the stream over it."""
         connection = await self.dial(self.address)
-        if connection.address != self.address:  # it has moved meanwhile
+        if connection.address != self.address:  # the peer has moved meanwhile
             connection.close()
             return
         self.close()
@@ -339,14 +341,14 @@
         self.address_changed.set()
 
     async def follow_moves(self) -> None:
-        """Tries each new place until it stands, or until it is another."""
+        """Tries each new address until a connection is established or the address changes again."""
         while await self.address_changed.wait():
             self.address_changed.clear()
             again = Backoff(self.limits)
             while self.address not in (self.connected_address, self.standby and self.standby.address):
                 try:
                     await self.renew()
-                except Exception:  # whatever it was, a further attempt follows: nobody else would make one
+                except Exception:  # whatever the error, try again: nothing else would
                     await again.wait()
 
     def close(self) -> None:
@@ -356,8 +358,8 @@
 
 
 async def cancel_and_wait(*tasks: asyncio.Task[Any] | None) -> None:
-    """Ends tasks and waits until they have; what they raised is heard."""
-    standing = [task for task in tasks if task is not None]
-    for task in standing:
+    """Cancels tasks and waits for them; their exceptions are retrieved and dropped."""
+    running = [task for task in tasks if task is not None]
+    for task in running:
         task.cancel()
-    await asyncio.gather(*standing, return_exceptions=True)
+    await asyncio.gather(*running, return_exceptions=True)
--- a/lapispass/net/lines.py
+++ b/lapispass/net/lines.py
@@ -1,4 +1,4 @@
-"""Cuts lines out of what was read, as slices of the buffer they came in."""
+"""Splits received bytes into lines, which are views of the buffer that they were read into."""
 
 from __future__ import annotations
 
@@ -6,17 +6,20 @@
 
 
 class LineTooLong(Exception):
-    """More than a message's bytes came without an end of line: where the next begins is unknown."""
+    """A line is longer than allowed; the stream is lost, since the start of the next line is unknown."""
 
 
 class LineSplitter:
-    """Only an unfinished line is copied: it outlives the buffer it began in."""
+    """Splits a stream into lines. Only an incomplete line is copied, since its buffer may be reused."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes, self.unfinished = max_bytes, bytearray()
 
     def split(self, piece: bytes | bytearray | memoryview) -> Iterator[memoryview]:
-        """The lines that a piece ends, without LF or CRLF; each is valid until the next one is asked for."""
+        """Yields the lines completed by `piece`, without LF or CRLF.
+
+        Each line is valid only until the next one is requested.
+        """
         view, begin = memoryview(piece), 0
         whole = piece if isinstance(piece, (bytes, bytearray)) else bytes(piece)
         while (end := whole.find(b"\n", begin)) >= 0:
--- a/lapispass/net/log.py
+++ b/lapispass/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines: key=value, on standard error, never waiting for whoever reads them."""
+"""Logging in key=value lines to standard error, which never blocks on a slow reader."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import time
 
 UNQUOTED = re.compile(r"[\w.:/+@%,;<>()-]+\Z")
-MAX_LINE_BYTES = 4000  # below what a pipe takes at once
+MAX_LINE_BYTES = 4000  # less than PIPE_BUF, so that a pipe takes a line in one write
 
 
 def format_value(value: object) -> str:
-    """A value as it stands, or quoted where it would not read as one word."""
+    """The value as text, JSON-quoted if it is not a single plain word."""
     text = format(value, ".6g") if isinstance(value, float) else str(value)
     return text if UNQUOTED.match(text) else json.dumps(text)
 
@@ -23,8 +23,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`time= level= part= event=`, the fields of the record, and `up=`: seconds since the process began, by a
-    clock that nobody steps.
+    """Formats a record as `time= level= part= event=`, its own fields, and `up=`.
+
+    `up=` is the time since the process started in seconds, by the monotonic clock: steps of the wall clock do
+    not change it.
     """
 
     def format(self, record: logging.LogRecord) -> str:
@@ -43,9 +45,10 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes a line only if that can be done at once: a stopped log reader must not stop the controller.
+    """Writes a line only if the descriptor takes it without blocking.
 
-    What is left of a line after a short write goes before the next one; at most one line waits.
+    A log reader that has stopped must not stop the controller. The rest of a partially written line is
+    written before the next one. At most one line is buffered; further ones are dropped and counted in `lost`.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -63,40 +66,40 @@
         self.flush_pending()
 
     def flush_pending(self) -> None:
-        """What is left of the last line, as far as it is taken."""
+        """Writes as much of the buffered line as the descriptor takes."""
         try:
             while self.unwritten and self.poll.poll(0):
                 written = os.write(self.descriptor, self.unwritten)
                 self.unwritten = self.unwritten[written:]
         except OSError:
-            pass  # the next line tries again
+            pass  # tried again with the next line
 
 
 def start(descriptor: int = 2, level: int = logging.INFO) -> NonBlockingHandler:
-    """Sends the log of the process to a descriptor."""
+    """Sends all log records of the process to a descriptor."""
     handler = NonBlockingHandler(descriptor)
     handler.setFormatter(KeyValueFormatter())
-    logging.getLogger().handlers[:] = [handler]  # asyncio's complaints go the same way
+    logging.getLogger().handlers[:] = [handler]  # asyncio logs through it, too
     logging.getLogger("lapispass").setLevel(level)
     return handler
 
 
 def flush_pending() -> None:
-    """Writes lines that had to wait, as far as they are taken now; otherwise they wait for the next one."""
+    """Writes the buffered line as far as the descriptor takes it; the rest stays buffered."""
     for handler in logging.getLogger().handlers:
         if isinstance(handler, NonBlockingHandler):
             handler.flush_pending()
 
 
 def lost() -> int:
-    """Lines dropped because nobody read them."""
+    """The number of lines dropped because the log's reader was too slow."""
     return sum(
         handler.lost for handler in logging.getLogger().handlers if isinstance(handler, NonBlockingHandler)
     )
 
 
 class PartLogger:
-    """The log of one part; `rate_limited` bounds the lines that a peer can cause."""
+    """The logger of one part of the program. Use `rate_limited` for events that a peer can cause."""
 
     def __init__(self, name: str, every_us: int = 0) -> None:
         self.logger = logging.getLogger(f"lapispass.{name}")
@@ -112,9 +115,10 @@
     def rate_limited(
         self, event: str, *, level: int = logging.WARNING, kind: str = "", **fields: object
     ) -> None:
-        """At most one such line in a while; the next one tells how many were left out.
+        """Logs an event at most once per interval; `left_out=` in the next line counts the suppressed ones.
 
-        Lines of each `kind` are counted by themselves: frequent ones do not hide others. There must be few.
+        Each `kind` has a limit of its own, so that frequent events do not hide rare ones. Every kind takes
+        memory: there must be few.
         """
         at, left_out = self.last.get((event, kind), (0, 0))
         now = time.monotonic_ns()
@@ -125,5 +129,5 @@
         self.say(event, level, **fields, **({"left_out": left_out} if left_out else {}))
 
     def failed(self, event: str, **fields: object) -> None:
-        """Inside an except block: the fault with its trace."""
+        """Logs the current exception with its traceback; for use in an except block."""
         self.logger.error(event, exc_info=True, extra={"fields": fields})
--- a/lapispass/net/loop_lag.py
+++ b/lapispass/net/loop_lag.py
@@ -1,4 +1,4 @@
-"""How late the event loop is: where a process stands still, everything that it owes is late by as much."""
+"""Measures the lag of the event loop. Everything a process does is delayed by the time that it stalls."""
 
 from __future__ import annotations
 
@@ -12,14 +12,13 @@
 
 
 class LoopLag:
-    """Logs each time the loop was late, whatever it was doing, and has the log write what waits; nothing is
-    decided by it."""
+    """Logs each stall of the loop, and flushes the log's buffered line. No decision depends on it."""
 
     def __init__(self, late_us: int, log: PartLogger, counters: Counters) -> None:
         self.late_us, self.log, self.counters = late_us, log, counters
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Runs until it is cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             due = loop.time() + CHECK_INTERVAL_S
@@ -28,7 +27,7 @@
             log.flush_pending()
 
     def note(self, late_us: int) -> None:
-        """The loop came back so late."""
+        """Records how late the loop woke up."""
         if late_us > self.late_us:
             self.counters["service.loop_stalls"] += 1
             self.log.rate_limited("event loop stalled", late_us=late_us)
--- a/lapispass/net/process.py
+++ b/lapispass/net/process.py
@@ -1,4 +1,4 @@
-"""A whole process of a further front: its signals, its log and its status."""
+"""Runs a server as a whole process: its signals, its log and its exit status."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 def install_signal_handlers(
     stop: Callable[[], None], print_counters: Callable[[], None], read_again: Callable[[], bool]
 ) -> None:
-    """SIGTERM and SIGINT end it, SIGUSR1 prints counters, SIGHUP has it read its file again.
+    """SIGTERM and SIGINT stop the process, SIGUSR1 logs its counters, SIGHUP reloads its file.
 
-    `read_again` returns False where the file cannot be read for a moment: it is called again for a while.
+    `read_again` returns False if the file temporarily cannot be read; it is then retried for a while.
     """
     loop = asyncio.get_running_loop()
 
@@ -34,41 +34,43 @@
     loop.add_signal_handler(signal.SIGHUP, reread)
 
 
-def run_to_completion(life: Coroutine[Any, Any, None]) -> None:
-    """A process's life on a loop of its own. Signals are held from its end until the loop is gone.
+def run_to_completion(main: Coroutine[Any, Any, None]) -> None:
+    """Runs `main` on an event loop of its own. Signals are blocked from its end until the loop is closed.
 
-    Guards its last moments: handlers go with the loop, and a second SIGTERM, or a SIGHUP, would end the
-    process by the signal in place of with its status. Whoever is about to leave the process holds them for
-    good.
+    The handlers are removed with the loop: a second SIGTERM, or a SIGHUP, would then kill the process, which
+    would not exit with its status. A caller that is about to exit has to block signals for good.
     """
 
-    async def whole() -> None:
+    async def run_and_block_signals() -> None:
         try:
-            await life
+            await main
         finally:
             signals.block_all()
 
     with signals.dispositions_restored(), asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(whole())
+        runner.run(run_and_block_signals())
 
 
 def exit_status(
-    life: Coroutine[Any, Any, None],
-    bad: type[Exception],
-    listens: str,
-    lines: logging.Formatter | None = None,
+    main: Coroutine[Any, Any, None],
+    bad_input: type[Exception],
+    listen_setting: str,
+    formatter: logging.Formatter | None = None,
 ) -> int:
-    """0 ended in order, 1 a fault, 2 bad input: a `bad` file, or an address `listens` that can't be had."""
+    """Runs `main` and returns the exit status: 0 for a regular end, 1 for a fault, 2 for bad input.
+
+    Bad input is a `bad_input` exception, or an OSError for the address that `listen_setting` names.
+    """
     handler = log.start()
-    if lines is not None:
-        handler.setFormatter(lines)
+    if formatter is not None:
+        handler.setFormatter(formatter)
     try:
-        run_to_completion(life)
-    except bad as error:
+        run_to_completion(main)
+    except bad_input as error:
         print(error, file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"{listens}: {error}", file=sys.stderr)
+        print(f"{listen_setting}: {error}", file=sys.stderr)
         return 2
     except Exception:
         PartLogger("main").failed("ended by a fault")
--- a/lapispass/net/resilient_socket.py
+++ b/lapispass/net/resilient_socket.py
@@ -1,7 +1,7 @@
-"""A socket for asyncio's transports, of which a system call that fails for a moment costs no connection.
+"""A socket for asyncio's transports whose connection survives transient failures of system calls.
 
-asyncio ends a connection for each error of recv and send but EAGAIN and EINTR, and drops what was not sent;
-it gives a connection up where TCP_NODELAY cannot be set; an error of close ends in a trace of the log.
+asyncio closes a connection, and drops its unsent bytes, for every error of recv and send except EAGAIN and
+EINTR. It also drops a connection if TCP_NODELAY cannot be set, and logs a traceback for an error of close.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @contextmanager
 def _retried_on_shortage(call: str) -> Iterator[None]:
-    """Raises BlockingIOError, as for EAGAIN, in place of a shortage that may pass."""
+    """Converts a transient shortage of resources into BlockingIOError, as for EAGAIN."""
     try:
         yield
     except OSError as error:
@@ -32,21 +32,21 @@
 class ResilientSocket(socket.socket):
     """A non-blocking stream socket.
 
-    Reading and writing raise BlockingIOError for a shortage of memory: asyncio tries again. `setsockopt` and
-    `close` raise no OSError: an option is a wish, and a descriptor is closed whatever close(2) says. Nor does
-    `shutdown`: a peer that is gone already needs no end of the stream.
+    Reading and writing raise BlockingIOError for a shortage of memory, so that asyncio tries again.
+    `setsockopt` and `close` raise no OSError: the options are optional, and the descriptor is closed whatever
+    close(2) returns. Nor does `shutdown`: a peer that is gone needs no end of the stream.
     """
 
-    max_read_bytes: int | None = None  # bytes that one `recv` takes at most
+    max_read_bytes: int | None = None  # upper bound of the bytes that one `recv` reads
 
     @classmethod
     def adopt(cls, plain: socket.socket) -> ResilientSocket:
-        """Takes the descriptor over; `plain` is detached."""
+        """Takes over the descriptor of `plain`, which is detached."""
         family, kind, protocol = plain.family, plain.type, plain.proto
         adopted = cls(family, kind, protocol, fileno=plain.detach())
         adopted.setblocking(False)
         if family in (socket.AF_INET, socket.AF_INET6):
-            # asyncio does so for sockets that name their protocol, which accept's do not
+            # asyncio sets this only on sockets that name their protocol, which accepted ones do not
             adopted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return adopted
 
--- a/lapispass/net/retrying_selector.py
+++ b/lapispass/net/retrying_selector.py
@@ -1,8 +1,9 @@
-"""A selector on epoll whose registrations are made again where the system refuses them for a moment.
+"""A selector on epoll that retries registrations which the system refuses temporarily.
 
 epoll_ctl(2) may fail with ENOMEM or ENOSPC. asyncio registers a connection in a callback of its own: such an
-error ends in the log, the connection is never read, and nobody is told. Here the registration stands at
-once; until the system has taken it, `select` watches the descriptor by poll(2), which needs none.
+error only reaches the log, and the connection is never read. This selector accepts the registration at once.
+Until the system has accepted it, too, `select` watches the descriptor by poll(2), which needs no
+registration.
 """
 
 from __future__ import annotations
@@ -21,21 +22,21 @@
 from lapispass.net import call_failures
 
 TRANSIENT = frozenset({errno.ENOMEM, errno.ENOSPC})
-PAUSE_S = 0.005  # between two looks, while a refused change stands
+PAUSE_S = 0.005  # between two polls while a change is refused
 
 
 class RetryingSelector(selectors.BaseSelector):
-    """As `selectors.EpollSelector`; descriptors may be given by number or by object."""
+    """Like `selectors.EpollSelector`; descriptors may be given by number or by object."""
 
     def __init__(self, epoll: select.epoll | None = None) -> None:
         self._epoll = epoll if epoll is not None else select.epoll()
         self._keys: dict[int, SelectorKey] = {}
-        self._refused: set[int] = set()  # wanted, and not known to the system as they are wanted
-        self._stale: set[int] = set()  # not wanted any more, and perhaps still known to the system
+        self._refused: set[int] = set()  # registered here, but not (or with other events) in epoll
+        self._stale: set[int] = set()  # unregistered here, but possibly still in epoll
 
     def register(self, fileobj: Any, events: int, data: Any = None) -> SelectorKey:
-        """Raises ValueError for events that are none, KeyError where it stands already, and OSError for an
-        error that does not pass."""
+        """Raises ValueError for invalid events, KeyError if it is already registered, and OSError for an
+        error that is not transient."""
         if not events or events & ~(EVENT_READ | EVENT_WRITE):
             raise ValueError(f"Invalid events: {events!r}")
         key = SelectorKey(fileobj, self._descriptor(fileobj), events, data)
@@ -51,14 +52,14 @@
         return key
 
     def unregister(self, fileobj: Any) -> SelectorKey:
-        """Raises KeyError where it is not registered."""
+        """Raises KeyError if it is not registered."""
         key = self._keys.pop(self._descriptor(fileobj))
         self._refused.discard(key.fd)
         self._remove_from_epoll(key.fd)
         return key
 
     def modify(self, fileobj: Any, events: int, data: Any = None) -> SelectorKey:
-        """Raises KeyError where it is not registered, and OSError for an error that does not pass."""
+        """Raises KeyError if it is not registered, and OSError for an error that is not transient."""
         old = self._keys[self._descriptor(fileobj)]
         key = old._replace(events=events, data=data)
         self._keys[key.fd] = key
@@ -67,7 +68,7 @@
         return key
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
-        """The keys that are ready and how, within `timeout` seconds; none after an interruption."""
+        """The ready keys with their events, within `timeout` seconds; empty after an interruption."""
         self._retry()
         if not self._refused and not self._stale:
             return self._ready(self._wait(timeout))
@@ -85,18 +86,18 @@
         self._stale.clear()
         try:
             self._epoll.close()
-        except OSError as error:  # the descriptor is closed all the same
+        except OSError as error:  # the descriptor is closed nevertheless
             call_failures.note("close", error)
 
     def get_map(self) -> Mapping[Any, SelectorKey]:
         return MappingProxyType(self._keys)
 
     def get_key(self, fileobj: Any) -> SelectorKey:
-        """Raises KeyError where it is not registered."""
+        """Raises KeyError if it is not registered."""
         return self._keys[self._descriptor(fileobj)]
 
     def _descriptor(self, fileobj: Any) -> int:
-        """The number of a descriptor; that of a closed object is looked for among the keys."""
+        """The descriptor's number; that of a closed object is looked up among the registered keys."""
         number = fileobj if isinstance(fileobj, int) else fileobj.fileno()
         if number >= 0:
             return int(number)
@@ -106,7 +107,7 @@
         raise ValueError(f"Invalid file descriptor: {number}")
 
     def _update_epoll(self, key: SelectorKey) -> None:
-        """Tells the system; an error that may pass is noted, and tried again with the next `select`."""
+        """Applies a registration to epoll. A transient error is recorded and retried by the next `select`."""
         mask = _mask(key.events)
         try:
             try:
@@ -125,7 +126,7 @@
         try:
             self._epoll.unregister(descriptor)
         except OSError as error:
-            if error.errno in TRANSIENT:  # any other: it was closed, or never known
+            if error.errno in TRANSIENT:  # any other error: it was closed or never registered
                 call_failures.note("epoll_ctl", error)
                 self._stale.add(descriptor)
                 return
@@ -137,16 +138,16 @@
         for descriptor in list(self._refused):
             try:
                 self._update_epoll(self._keys[descriptor])
-            except OSError:  # closed by its owner before it was unregistered
+            except OSError:  # its owner closed it without unregistering it
                 self._refused.discard(descriptor)
 
     def _wait(self, timeout: float | None) -> list[tuple[int, int]]:
-        """Descriptors and masks that epoll gives, within `timeout` seconds."""
+        """Descriptors and event masks from epoll, within `timeout` seconds."""
         if timeout is None:
             timeout = -1
         elif timeout <= 0:
             timeout = 0
-        else:  # epoll counts in milliseconds: at least so long
+        else:  # epoll counts in milliseconds: round up, so as not to return early
             timeout = math.ceil(timeout * 1e3) * 1e-3
         try:
             return self._epoll.poll(timeout, max(len(self._keys) + len(self._stale), 1))
@@ -154,7 +155,7 @@
             return []
 
     def _poll_refused(self, timeout: float | None) -> list[tuple[int, int]]:
-        """Waits for what epoll knows and for what it does not know; what came of the latter."""
+        """Waits for epoll and for the refused descriptors; returns the ready ones among the latter."""
         poll = select.poll()
         poll.register(self._epoll.fileno(), select.POLLIN)
         for descriptor in self._refused:
@@ -168,7 +169,7 @@
         return [(descriptor, mask) for descriptor, mask in found if descriptor in self._refused]
 
     def _ready(self, found: list[tuple[int, int]]) -> list[tuple[SelectorKey, int]]:
-        """The keys that are still registered, with the events among those that each waits for."""
+        """The keys that are still registered, each with those of its events that occurred."""
         ready = []
         for descriptor, mask in found:
             key = self._keys.get(descriptor)
@@ -178,8 +179,10 @@
 
 
 def _pause(until: float | None) -> None:
-    """A moment, or until then. What the system still watches although nobody waits for it is ready again and
-    again, and must not take the whole processor."""
+    """Sleeps for `PAUSE_S`, but not beyond `until`.
+
+    A stale descriptor that epoll still watches may always be ready; the loop would spin without a pause.
+    """
     pause_s = PAUSE_S if until is None else min(PAUSE_S, until - time.monotonic())
     if pause_s > 0:
         with suppress(OSError):
@@ -187,11 +190,11 @@
 
 
 def _mask(events: int) -> int:
-    """A selector's events as epoll's and poll's mask; the two share their bits."""
+    """A selector's events as a mask of epoll and poll, which share these bits."""
     return (select.EPOLLIN if events & EVENT_READ else 0) | (select.EPOLLOUT if events & EVENT_WRITE else 0)
 
 
 def _events(mask: int) -> int:
-    """A mask as a selector's events: an error or a hang-up is for both, so that whoever waits finds out."""
+    """A mask as a selector's events. An error or hang-up counts as both, to notify all waiters."""
     write = EVENT_WRITE if mask & ~select.EPOLLIN else 0
     return write | (EVENT_READ if mask & ~select.EPOLLOUT else 0)
--- a/lapispass/net/signals.py
+++ b/lapispass/net/signals.py
@@ -1,4 +1,4 @@
-"""Signals: none but SIGTERM and SIGINT ends the process, from its first moment to its last."""
+"""Signal handling: from the first to the last moment, only SIGTERM and SIGINT may end the process."""
 
 import os
 import signal
@@ -19,9 +19,10 @@
 
 
 def ignore_all() -> None:
-    """Guards against a signal that comes before its handler stands, or has none: it would end the process.
+    """Ignores all signals until handlers are installed; SIGTERM and SIGINT exit with status 0.
 
-    Who is told to end while still starting has nothing to bring to an end, and ends in order all the same.
+    Without this, a signal that arrives before its handler is installed, or that has none, would kill the
+    process. A process that is asked to end during its start has nothing to clean up.
     """
     for number in signal.valid_signals() - NOT_IGNORED - FAULTS:
         signal.signal(number, signal.SIG_IGN)
@@ -30,7 +31,7 @@
 
 
 def block_all() -> None:
-    """Lets no signal through any more: the process is about to end by itself."""
+    """Blocks all signals: the process is about to exit by itself."""
     signal.pthread_sigmask(
         signal.SIG_BLOCK, signal.valid_signals() - FAULTS - {signal.SIGKILL, signal.SIGSTOP}
     )
@@ -38,7 +39,7 @@
 
 @contextmanager
 def dispositions_restored() -> Iterator[None]:
-    """What signals do, and which are held, stands afterwards as it stood before."""
+    """Restores all signal handlers and the signal mask on exit."""
     held = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     before = {number: signal.getsignal(number) for number in signal.valid_signals() - FAULTS}
     try:
--- a/lapispass/net/streams.py
+++ b/lapispass/net/streams.py
@@ -1,4 +1,4 @@
-"""What asyncio's streams leave out: what is still unread, and an end that loses no answer."""
+"""Additions to asyncio's streams: the amount of unread input, and a flush before the close."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Reader(asyncio.StreamReader):
-    """A stream that can tell whether something waits to be read."""
+    """A stream reader that knows how many received bytes have not been read."""
 
     unread = 0
 
@@ -24,14 +24,14 @@
 
 
 def unread(reader: asyncio.StreamReader) -> int:
-    """How many bytes a stream has taken over that nobody has read yet."""
+    """The number of bytes in the stream's buffer that have not been read."""
     return reader.unread if isinstance(reader, Reader) else 0
 
 
 def has_input(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Whether bytes have come that were not read yet, in the stream or in the system's buffer.
+    """Whether there are unread bytes, in the stream's buffer or in the system's.
 
-    The peer's end counts as input too, until the stream has seen it.
+    An end of stream counts as input, too, until the reader has seen it.
     """
     if unread(reader):
         return True
@@ -44,7 +44,7 @@
 
 
 def is_readable(descriptor: int) -> bool:
-    """Whether a read or an accept would find something; True where poll(2) is refused and nobody knows."""
+    """Whether a read or an accept would not block; True if poll(2) fails, since it is unknown then."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     try:
@@ -57,10 +57,10 @@
 async def read_arrived(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter, most: int, late_us: int
 ) -> bytes | None:
-    """What has come although the time to wait for it is over; None where nothing has.
+    """Called after a read has timed out: returns input that did arrive in time, or None.
 
-    Guards against the timer that wins over what has come: where the process stood still, both are due in the
-    same round. The system may not have handed the bytes over yet; that is waited for, `late_us` at most.
+    If the process was stalled, the timer and the input are due in the same round of the loop, and the timer
+    may come first. Bytes that are still in the system's buffer are waited for, for at most `late_us`.
     """
     if not has_input(reader, writer):
         return None
@@ -70,20 +70,20 @@
             return await reader.read(most)
     except TimeoutError:
         if not waiting.expired():
-            raise  # the connection's own (ETIMEDOUT)
+            raise  # an error of the connection (ETIMEDOUT)
         return None
 
 
 async def flush(writer: asyncio.StreamWriter, wait_us: int) -> int:
-    """Waits until all that was written is in the system's hands; how many bytes are not, after that time.
+    """Waits until the system has taken all written bytes; returns how many are left after `wait_us`.
 
-    Never raises for a peer that is gone.
+    Does not raise if the peer is gone.
     """
     transport = writer.transport
     transport.set_write_buffer_limits(high=0)
     try:
         async with asyncio.timeout(wait_us / 1e6):
             await writer.drain()
-    except OSError:  # a TimeoutError is one, too
+    except OSError:  # includes TimeoutError
         pass
     return transport.get_write_buffer_size()
--- a/lapispass/net/tcp_info.py
+++ b/lapispass/net/tcp_info.py
@@ -1,11 +1,11 @@
-"""What the system knows of a TCP connection (`tcp_info` of linux/tcp.h), read by `getsockopt`."""
+"""The state of a TCP connection as the kernel reports it (`tcp_info` of linux/tcp.h), by getsockopt(2)."""
 
 from __future__ import annotations
 
 import socket
 import struct
 
-# Eight single bytes stand before the counters of 32 bits each, which are named here by their place.
+# Eight single bytes precede the 32-bit counters; the constants below are indexes of counters.
 COUNTERS = struct.Struct("=8x12I")
 UNACKED, LAST_DATA_RECEIVED_MS = 4, 11
 
@@ -20,15 +20,15 @@
 
 
 def since_last_data_us(connection: socket.socket | None) -> int | None:
-    """How long ago the last bytes came, read or not; None where the system does not tell."""
+    """The time since the last bytes arrived, read or not; None if the system does not report it."""
     counters = _counters(connection)
     return None if counters is None else counters[LAST_DATA_RECEIVED_MS] * 1000
 
 
 def waiting_to_be_accepted(listener: socket.socket | None) -> int | None:
-    """Connections in a listening socket's queue; None where the system does not tell.
+    """The number of connections in a listener's accept queue; None if the system does not report it.
 
-    For a socket that listens, the counter of unacknowledged segments holds the length of the queue.
+    For a listening socket, the counter of unacknowledged segments holds the length of the queue.
     """
     counters = _counters(listener)
     return None if counters is None else counters[UNACKED]
--- a/lapispass/retry.py
+++ b/lapispass/retry.py
@@ -1,4 +1,4 @@
-"""Attempts at a start or a reload that are made again while what made them fail may pass."""
+"""Retries of a start or a reload while it fails with transient errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryWindow:
-    """For how long attempts are made again, and the pause between two of them, in seconds."""
+    """How long to retry, and the pause between two attempts, in seconds."""
 
     wait_s: float = 3.0
     pause_s: float = 0.05
@@ -24,7 +24,7 @@
 
 
 class _Attempts(Generic[T]):
-    """Attempts up to the end of a window; between two of them the caller waits."""
+    """Attempts until the end of a window; the caller waits between them."""
 
     result: T
 
@@ -33,7 +33,7 @@
         self.until = time.monotonic() + window.wait_s
 
     def succeeded(self) -> bool:
-        """Makes an attempt; raises its error where the window is over or the error is none that may pass."""
+        """Makes an attempt; raises its error if it is not transient or the window is over."""
         try:
             self.result = self.attempt()
         except Exception as error:
@@ -44,9 +44,10 @@
 
 
 def retry_blocking(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
-    """What the attempt gives; it blocks between attempts, so it is for a process that does nothing else yet.
+    """Returns the result of the first successful attempt.
 
-    Raises the error of the last attempt, at once where it is none that may pass.
+    Blocks between attempts, so it is for a process that does nothing else yet. Raises the error of the last
+    attempt; an error that is not transient is raised at once.
     """
     attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
@@ -55,7 +56,7 @@
 
 
 async def retry(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
-    """As `retry_blocking`, on a loop that goes on meanwhile."""
+    """Like `retry_blocking`, without blocking the event loop."""
     attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
         await asyncio.sleep(window.pause_s)
