--- a/tests/fault_shim.c
+++ b/tests/fault_shim.c
@@ -1,39 +1,40 @@
-/* Interposes system calls of a process under test (LD_PRELOAD) and makes them fail as Linux documents.
+/* Interposes system calls of a process under test (LD_PRELOAD) and makes them fail as the Linux manual
+ * pages document.
  *
- * The test writes one record a call into the file named by LAPISPASS_FAULTS; the file is mapped, so that
- * faults can be switched while the process runs. A record holds how many calls still fail (-1: all), of how
- * many thousandths of the calls, and the errno they fail with. The errno SHORT makes a transfer move a single
+ * The test writes one record per call into the file named by LAPISPASS_FAULTS. The file is mapped, so that
+ * faults can be switched while the process runs. A record holds the number of calls that still fail (-1: all),
+ * the share of calls that fail in thousandths, and their errno. The errno SHORT makes a transfer move a single
  * byte. The record of the wall clock holds the seconds by which it is stepped. The record READ counts the
- * bytes that the process has read from the connections that it accepted; behind the records stands the same
- * for each port of a client.
+ * bytes that the process has read from the connections that it accepted. The same count for each client port
+ * follows the records.
  *
- * Calls that a process imports and that are left out, with the reason:
+ * Calls that a process imports and that are not interposed, with the reason:
  * - clock_getres, getcwd, getegid, geteuid, getgid, getgroups, getpgid, getpgrp, getpid, getppid,
  *   getresgid, getresuid, getrlimit64, getrusage, getsid, gettid, gettimeofday, getuid, sched_yield,
- *   time, times, umask, uname: tell or set a state of the process; they fail only for a fault of the
- *   caller
- * - alarm, getitimer, kill, pause, setitimer, sigaltstack: signals and timers; they fail only for a
- *   fault of the caller
+ *   time, times, umask, uname: they read or set the state of the process and fail only because of an
+ *   error of the caller
+ * - alarm, getitimer, kill, pause, setitimer, sigaltstack: signals and timers; they fail only because
+ *   of an error of the caller
  * - access, faccessat, fstat, lseek, lseek64, lstat, lstat64, open, openat, openat64, readlink,
- *   readlinkat, stat, statx: paths are looked up by the import system and by SQLite; the program itself
- *   uses open64, stat64 and fstat64
+ *   readlinkat, stat, statx: the import system and SQLite look up paths with them; the program
+ *   itself uses open64, stat64 and fstat64
  * - madvise, mlock, mmap, mmap64, mprotect, mremap, munmap, shmat, shmdt, shmget: the memory of the
  *   process itself
  * - copy_file_range, readv, recvfrom, recvmsg, sendfile, sendfile64, sendmsg, sendto, splice, writev:
- *   transfers that nothing here makes: asyncio's streams call recv and send, logs and files write
- * - close_range, dup, dup2, dup3, eventfd, flock, memfd_create, nanosleep, pipe, pipe2, select: nothing
- *   here calls them: the event loop has epoll and a pair of sockets, time.sleep has clock_nanosleep
- * - execve, exit, fork, vfork, wait, wait4, waitid: the process starts no other
+ *   not used here: asyncio's streams call recv and send, the log and files use write
+ * - close_range, dup, dup2, dup3, eventfd, flock, memfd_create, nanosleep, pipe, pipe2, select: not
+ *   called here: the event loop uses epoll and a socket pair, time.sleep uses clock_nanosleep
+ * - execve, exit, fork, vfork, wait, wait4, waitid: the process starts no other process
  * - chdir, chmod, chown, chroot, fchdir, fchmod, fchmodat, fchown, fchownat, fgetxattr, flistxattr,
  *   fremovexattr, fsetxattr, getxattr, lchown, lgetxattr, link, linkat, listxattr, llistxattr,
  *   lremovexattr, lsetxattr, mkdir, mkdirat, mknod, mknodat, removexattr, rename, renameat, rmdir,
- *   setxattr, symlink, symlinkat, sync, truncate, truncate64, unlinkat, utime, utimensat: changes of
- *   folders and attributes, which nothing here makes
+ *   setxattr, symlink, symlinkat, sync, truncate, truncate64, unlinkat, utime, utimensat: they change
+ *   directories and attributes, which nothing here does
  * - clock_settime, getpriority, sched_get_priority_max, sched_get_priority_min, sched_getaffinity,
  *   sched_getparam, sched_getscheduler, sched_rr_get_interval, sched_setaffinity, sched_setparam,
  *   sched_setscheduler, setgid, setgroups, sethostname, setpgid, setpriority, setregid, setresgid,
- *   setresuid, setreuid, setrlimit64, setsid, setuid: the interpreter offers them; nothing here calls
- *   them
+ *   setresuid, setreuid, setrlimit64, setsid, setuid: the interpreter imports them; nothing here
+ *   calls them
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -76,7 +77,7 @@
 
 static struct fault *faults;
 static uint32_t random_state = 1;
-static uint32_t *read_from; /* bytes, by the client's port */
+static uint32_t *read_from; /* bytes read, by client port */
 static int watched_file = -1; /* the descriptor of the file at LAPISPASS_FAULTS_OPEN */
 static int accepted[DESCRIPTORS]; /* the client's port, for descriptors of accepted connections */
 
@@ -92,7 +93,7 @@
     read_from = (uint32_t *)(faults + CALLS);
 }
 
-/* The errno that this call fails with, SHORT, or 0. */
+/* Returns the errno that this call is to fail with, SHORT, or 0 for no failure. */
 static int fails(enum call call) {
     if (!faults || !faults[call].left) return 0;
     struct fault *fault = &faults[call];
@@ -103,7 +104,7 @@
     return fault->error;
 }
 
-/* The C library's own function, as `next`. */
+/* Defines `next` as the C library's own function. */
 #define NEXT(function) \
     static __typeof__(&function) next; \
     if (!next) next = (__typeof__(&function))dlsym(RTLD_NEXT, #function)
@@ -117,7 +118,7 @@
         } \
     } while (0)
 
-/* What the shim itself asks the C library, past its own functions. */
+/* Calls of the shim itself, which bypass the interposed functions. */
 static int own_name(int descriptor, struct sockaddr *address, socklen_t *size) {
     NEXT(getsockname);
     return next(descriptor, address, size);
@@ -135,7 +136,7 @@
     return address.ss_family == AF_INET || address.ss_family == AF_INET6;
 }
 
-/* The port of the peer of a connection, 0 where it is unknown. */
+/* The port of a connection's peer, or 0 if it is unknown. */
 static int peer_port(int descriptor) {
     struct sockaddr_storage address;
     socklen_t size = sizeof address;
@@ -311,15 +312,15 @@
     return next(flags);
 }
 
-/* ENOSPC, the limit on watches, is an error of additions alone. */
+/* ENOSPC, the limit on watches, occurs only when a descriptor is added. */
 int epoll_ctl(int descriptor, int operation, int target, struct epoll_event *event) {
     NEXT(epoll_ctl);
-    int concerned = !faults || faults[EPOLL_CTL].error != ENOSPC || operation == EPOLL_CTL_ADD;
-    FAIL(EPOLL_CTL, concerned);
+    int applies = !faults || faults[EPOLL_CTL].error != ENOSPC || operation == EPOLL_CTL_ADD;
+    FAIL(EPOLL_CTL, applies);
     return next(descriptor, operation, target, event);
 }
 
-/* A socket is closed all the same; a file's close does not fail. */
+/* A socket is closed although the call fails; close of a file does not fail. */
 int close(int descriptor) {
     NEXT(close);
     int error = faults && faults[CLOSE].left && is_socket(descriptor) ? fails(CLOSE) : 0;
@@ -374,7 +375,7 @@
     return next(family, type, protocol, pair);
 }
 
-/* FIONBIO is how the interpreter makes a socket non-blocking. */
+/* The interpreter makes a socket non-blocking by FIONBIO. */
 int ioctl(int descriptor, unsigned long request, ...) {
     NEXT(ioctl);
     va_list rest;
@@ -385,7 +386,7 @@
     return next(descriptor, request, argument);
 }
 
-/* The locks of files, which SQLite takes. */
+/* F_SETLK: the file locks that SQLite takes. */
 static int file_control(int descriptor, int command, void *argument) {
     NEXT(fcntl64);
     FAIL(FCNTL, command == F_SETLK);
@@ -414,7 +415,7 @@
     return next(descriptors, count, timeout);
 }
 
-/* Returns the error, as the C library does. */
+/* Returns the error in place of setting errno, as the C library does. */
 int clock_nanosleep(clockid_t clock, int flags, const struct timespec *span, struct timespec *left) {
     NEXT(clock_nanosleep);
     int error = fails(SLEEP);
@@ -434,7 +435,7 @@
     return status;
 }
 
-/* The functions above, for the test that compares them with what a process imports. */
+/* The interposed functions, for the test that compares them with the imports of a process. */
 const char *const covered_calls[] = {
     "accept", "accept4", "bind", "clock_gettime", "clock_nanosleep", "close", "connect", "epoll_create1",
     "epoll_ctl", "epoll_wait", "fcntl", "fcntl64", "fdatasync", "fstat64", "fsync", "ftruncate",
--- a/tests/faulty_process.py
+++ b/tests/faulty_process.py
@@ -1,6 +1,6 @@
-"""A real controller process whose system calls fail on demand, with stand-ins for relay and registry.
+"""Runs a real controller process whose system calls fail on demand, with stand-ins for relay and registry.
 
-The faults are those of `fault_shim.c`, which is compiled once for a test run and loaded into the process.
+The faults are injected by `fault_shim.c`, which is compiled once per test run and preloaded into the process.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from parties import LoopbackServer, RegistryServer, RelayServer
 
 SHIM = Path(__file__).with_name("fault_shim.c")
-SHORT = 10000  # a transfer of one byte, in place of an errno
+SHORT = 10000  # in place of an errno: the transfer moves one byte only
 RECORD = struct.Struct("=4i")
 ALWAYS = 1000  # thousandths
-PORT_COUNT = struct.Struct("=I")  # the bytes read from a client, by its port, behind the records
+PORT_COUNT = struct.Struct("=I")  # after the records: the bytes read from each client port
 PORTS = 1 << 16
-HOST = "127.0.0.2"  # of processes under test; stand-ins have another one
+HOST = "127.0.0.2"  # of the process under test; stand-ins use 127.0.0.1
 SETTINGS = {
     "grades": [{"name": "pay", "target-us": 10, "hard-limit-us": 20, "worth": 2.0}],
     "extra": {"key-ranges": 2, "data-plane-size": 3},
@@ -53,31 +53,31 @@
     OPEN = 9
     CLOCK = 10
     PIPE = 11
-    READ = 12  # fails never: counts the bytes read from connections that were accepted
-    EPOLL_CTL = 13  # with ENOSPC additions alone, with another error all of them
-    CLOSE = 14  # of sockets, which are closed all the same
+    READ = 12  # never fails: counts the bytes read from accepted connections
+    EPOLL_CTL = 13  # ENOSPC applies to additions only, other errors to all operations
+    CLOSE = 14  # of sockets, which are closed nevertheless
     SETSOCKOPT = 15
     GETSOCKOPT = 16
     GETPEERNAME = 17
     GETSOCKNAME = 18
     SHUTDOWN = 19
     LISTEN = 20
-    IOCTL = 21  # FIONBIO: how the interpreter makes a socket non-blocking
-    FCNTL = 22  # F_SETLK, the locks of files
+    IOCTL = 21  # FIONBIO, by which the interpreter makes a socket non-blocking
+    FCNTL = 22  # F_SETLK, file locks
     POLL = 23
     SOCKETPAIR = 24
     EPOLL_CREATE = 25
-    READ_FILE = 26  # of the file at `LAPISPASS_FAULTS_OPEN`
+    READ_FILE = 26  # of the file named by `LAPISPASS_FAULTS_OPEN`
     READ_STORE = 27
     TRUNCATE = 28
-    STAT = 29  # of open files, and of the file at `LAPISPASS_FAULTS_OPEN` by its path
+    STAT = 29  # of open files, and by path of the file named by `LAPISPASS_FAULTS_OPEN`
     UNLINK = 30
     SLEEP = 31
     RANDOM = 32
-    CLOSED_TWICE = 33  # fails never: counts the calls of close with a descriptor that was not open
+    CLOSED_TWICE = 33  # never fails: counts calls of close with a descriptor that is not open
 
 
-# What passes, by Linux's pages, and harms no connection.
+# Errors that are transient according to the Linux manual pages, and that cost no connection.
 MOMENTARY = (
     *((Call.ACCEPT, error) for error in (errno.ENFILE, errno.ENOBUFS, errno.ECONNABORTED, errno.EINTR)),
     *((Call.SOCKET, error) for error in (errno.ENFILE, errno.ENOBUFS)),
@@ -100,14 +100,14 @@
 
 @cache
 def shim() -> Path:
-    """The compiled library."""
+    """Compiles the library and returns its path."""
     library = Path(mkdtemp(prefix="lapispass-shim-")) / "shim.so"
     subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", library, SHIM, "-ldl"], check=True)
     return library
 
 
 class Faults:
-    """The records that a process reads, in a file of their own."""
+    """The fault records of a process, in a file that the process maps."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -116,7 +116,7 @@
             self.records = mmap.mmap(file.fileno(), 0)
 
     def set(self, call: Call, error: int, times: int = -1, thousandths: int = ALWAYS) -> None:
-        """The next `times` calls fail (-1: until `clear`), each by this chance."""
+        """Makes the next `times` calls (-1: all until `clear`) fail, each with this probability."""
         injected = self.injected(call)
         RECORD.pack_into(self.records, call * RECORD.size, times, thousandths, error, injected)
 
@@ -124,11 +124,11 @@
         self.set(call, 0, times=0)
 
     def step_clock(self, seconds: int) -> None:
-        """The wall clock is ahead by so many seconds from now on."""
+        """Sets the wall clock of the process ahead by this many seconds."""
         self.set(Call.CLOCK, seconds, times=0)
 
     def inject_random(self, chance: random.Random) -> list[Call]:
-        """A few calls fail for a moment from now on, and the wall clock may be stepped; which calls."""
+        """Makes three random calls fail transiently and may step the wall clock; returns these calls."""
         chosen = chance.sample(MOMENTARY, 3)
         for call, error in chosen:
             self.set(call, error, thousandths=chance.choice((50, 300, 600)))
@@ -136,7 +136,7 @@
         return [call for call, _ in chosen]
 
     def active(self) -> list[str]:
-        """The calls that fail from now on, each with its error and how many of a thousand."""
+        """The faults that are active, each with its error and rate per thousand."""
         found = []
         for call in Call:
             left, thousandths, error, injected = RECORD.unpack_from(self.records, call * RECORD.size)
@@ -145,24 +145,24 @@
         return found
 
     def injected(self, call: Call) -> int:
-        """How many calls have failed so far."""
+        """The number of failures injected so far."""
         return RECORD.unpack_from(self.records, call * RECORD.size)[3]
 
     def closed_twice(self) -> int:
-        """How often the process has closed a descriptor that was not open."""
+        """How often the process has closed a descriptor that was not open (a double close)."""
         return self.injected(Call.CLOSED_TWICE)
 
     def bytes_read(self) -> int:
-        """How much the process has read from the connections that it accepted."""
+        """The bytes that the process has read from connections that it accepted."""
         return self.injected(Call.READ)
 
     def bytes_read_from(self, port: int) -> int:
-        """How much the process has read from all clients that have had this port."""
+        """The bytes that the process has read from all clients with this port."""
         return PORT_COUNT.unpack_from(self.records, RECORD.size * len(Call) + PORT_COUNT.size * port)[0]
 
 
 class NotStarted(AssertionError):
-    """A process has ended, or said nothing, before it was ready."""
+    """A process ended or timed out before it was ready."""
 
 
 class Controller:
@@ -172,19 +172,24 @@
         self.process, self.faults, self.address = process, faults, address
         self.lines: list[str] = []
 
-    async def wait_for_log(self, words: str, after: int = 0, limit_s: float = 10) -> str:
-        """The first line of the log, from this one on, that holds the words; a TimeoutError tells the log."""
+    async def wait_for_log(self, text: str, after: int = 0, limit_s: float = 10) -> str:
+        """The first log line with `text`, from line `after` on; raises TimeoutError with the whole log."""
         try:
             async with asyncio.timeout(limit_s):
-                return await self._next_line(words, after)
+                return await self._next_line(text, after)
         except TimeoutError:
-            told = [f"not said within {limit_s} s: {words}", *self.faults.active(), "the log:", *self.lines]
-            raise TimeoutError("\n".join(told)) from None
-
-    async def _next_line(self, words: str, after: int) -> str:
+            report = [
+                f"not logged within {limit_s} s: {text}",
+                *self.faults.active(),
+                "the log:",
+                *self.lines,
+            ]
+            raise TimeoutError("\n".join(report)) from None
+
+    async def _next_line(self, text: str, after: int) -> str:
         while True:
             for line in self.lines[after:]:
-                if words in line:
+                if text in line:
                     return line
             after = len(self.lines)
             line = await self.process.stderr.readline()
@@ -192,7 +197,7 @@
             self.lines.append(line.decode().rstrip("\n"))
 
     async def wait_for_answer(self, limit_s: float = 10) -> None:
-        """Waits for its first answer, after which the platform puts a controller to use."""
+        """Waits for its first answer to a PING, after which the platform starts to use a controller."""
         async with asyncio.timeout(limit_s):
             while self.process.returncode is None:
                 try:
@@ -221,7 +226,7 @@
         return {name: int(value) for name, _, value in words if "." in name}
 
     async def wait_for_exit(self) -> int:
-        """Its status, once it has ended."""
+        """Waits for the end of the process; returns its exit status."""
         self.lines += (await self.process.stderr.read()).decode().splitlines()
         return await asyncio.wait_for(self.process.wait(), 10)
 
@@ -234,9 +239,9 @@
     ready: str | None,
     environment: Mapping[str, str],
 ) -> AsyncIterator[Controller]:
-    """`python -m lapispass` with these arguments, killed if it still runs.
+    """Runs `python -m lapispass` with these arguments, and kills it at the end if it still runs.
 
-    It is ready once its log holds `ready`, or for None once it has answered a PING.
+    The process is ready once its log contains `ready` or, if that is None, once it has answered a PING.
     """
     child = await asyncio.create_subprocess_exec(
         *(sys.executable, "-B", "-m", "lapispass", *arguments),
@@ -256,7 +261,7 @@
             else:
                 await running.wait_for_log(ready)
         except (AssertionError, TimeoutError) as error:
-            raise NotStarted(str(error) or f"no {ready!r} in time") from error
+            raise NotStarted(str(error) or f"no log line {ready!r} in time") from error
         yield running
     finally:
         if child.returncode is None:
@@ -265,9 +270,10 @@
 
 
 def free_address() -> tuple[str, int]:
-    """An address of this machine that nobody listens at.
+    """An unused address of this machine.
 
-    Stand-ins listen at 127.0.0.1, where one of them may be given the port while a controller is restarted.
+    It is not at 127.0.0.1, where the stand-ins listen: one of them could get the port while a controller is
+    being restarted.
     """
     with socket.create_server((HOST, 0)) as free:
         return free.getsockname()
@@ -287,9 +293,9 @@
     limits: Mapping[str, int] | None = None,
     ready: str | None = "event=listening",
 ) -> AsyncIterator[Controller]:
-    """The platform's controller, with its stand-ins.
+    """Runs the platform's controller with its stand-ins.
 
-    Where writes to the log's pipe fail at the start, `ready` has to be None: a line may not come then.
+    `ready` must be None if writes to the log's pipe fail at the start, since the line may be lost then.
     """
     faults = faults or Faults(folder / "faults")
     address = address or free_address()
@@ -306,11 +312,11 @@
         }
         path = folder / "config.json"
         path.write_text(json.dumps(config))
-        told = {"LB_CONFIG": str(path), **(environment or {})}
-        async with process((), faults, address, ready, told) as running:
+        variables = {"LB_CONFIG": str(path), **(environment or {})}
+        async with process((), faults, address, ready, variables) as running:
             yield running
 
 
 def errno_name(error: int) -> str:
-    """An errno's name, for the text of an assertion."""
+    """The name of an errno, for assertion messages."""
     return errno.errorcode.get(error, str(error))
--- a/tests/flood.py
+++ b/tests/flood.py
@@ -1,7 +1,7 @@
 """Clients that send requests as fast as they can, in a process of their own.
 
-`python tests/flood.py HOST PORT CONNECTIONS SECONDS [FIRST LINE]`; they read all answers. In place of PING,
-each sends the line FIRST once, and then LINE again and again.
+Usage: `python tests/flood.py HOST PORT CONNECTIONS SECONDS [FIRST LINE]`. The clients read all answers.
+They send PING, or, with FIRST and LINE, the line FIRST once and then LINE repeatedly.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 def flood(
     address: tuple[str, int], connections: int, for_s: float, first: str = "", line: str = PING
 ) -> None:
-    """Writes and reads on all connections until the time is over, or none is left."""
+    """Writes and reads on all connections for `for_s` seconds, or until all are closed."""
     requests = f"{line}\r\n".encode() * REPEATED
     clients = [socket.create_connection(address) for _ in range(connections)]
     sent = dict.fromkeys(clients, 0)
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,6 +1,7 @@
-"""Stand-ins on loopback from the public pages, and what tests of the network code share.
+"""Loopback servers and fixtures for tests of the network code.
 
-Each forces an order of events by what it holds back, answers or ends.
+The servers follow the platform's published interfaces. A test forces an order of events by what a server
+delays, answers or closes.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 
 
 class HeldDials:
-    """Dials that wait: to an address in `gates` until its gate opens, and to one in `refused` not at all."""
+    """Delays connects to an address in `gates` until its event is set; refuses those in `refused`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.gates: dict[str, asyncio.Event] = {}
@@ -69,7 +70,7 @@
         self.dialed: list[str] = []
         dial = HttpConnection._dial
 
-        async def late(address: str, limits: Limits) -> HttpConnection:
+        async def delayed_dial(address: str, limits: Limits) -> HttpConnection:
             self.dialed.append(address)
             if address in self.refused:
                 raise ConnectionRefusedError(address)
@@ -77,7 +78,7 @@
                 await self.gates[address].wait()
             return await dial(address, limits)
 
-        monkeypatch.setattr(HttpConnection, "_dial", late)
+        monkeypatch.setattr(HttpConnection, "_dial", delayed_dial)
 
 
 class LoopbackServer:
@@ -104,7 +105,7 @@
             if await self.serve_connection(reader, writer) == "reset":
                 writer.transport.abort()
         except (OSError, EOFError, h11.ProtocolError, asyncio.CancelledError):
-            pass  # it has ended, or was ended by us with the test
+            pass  # the peer closed the connection, or the test has ended
         writer.close()
 
     def reset(self) -> None:
@@ -114,12 +115,12 @@
 
 
 async def silent(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
-    """A party that reads to the end and says nothing."""
+    """Reads to the end of the stream and sends nothing."""
     await reader.read()
 
 
 async def next_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes] | None:
-    """A whole request, or None at the end."""
+    """The next complete request, or None at the end of the stream."""
     head, body = None, b""
     while True:
         event = state.next_event()
@@ -136,10 +137,10 @@
 
 
 async def read_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
-    """A whole request; an EOFError where the connection ends before it has asked."""
-    if (told := await next_request(reader, state)) is None:
+    """The next complete request; raises EOFError if the connection ends before it."""
+    if (found := await next_request(reader, state)) is None:
         raise EOFError
-    return told
+    return found
 
 
 def response_bytes(state: h11.Connection, status: int, body: bytes | None) -> bytes:
@@ -149,13 +150,13 @@
 
 
 class RelayServer(LoopbackServer):
-    """Holds the proxies' streams and the store; what goes wrong with the next calls stands in `faults`."""
+    """The relay: it has the event streams and the store. `faults` lists the faults of the next calls."""
 
     def __init__(self) -> None:
         super().__init__(self.relay)
         self.faults: deque[str] = deque()
         self.snapshot: list[tuple[str, str]] = []
-        self.orders_done: list[str] = []  # orders carried out
+        self.orders_done: list[str] = []  # orders that were carried out
         self.calls: list[list[str]] = []
         self.streams: list[tuple[h11.Connection, asyncio.StreamWriter]] = []
         self.written_after, self.acknowledges, self.sends_heartbeats, self.held = (
@@ -185,7 +186,7 @@
             orders = parse_qs(body.decode())["orders"][0].split(";")
             self.calls.append(orders)
             fault = self.faults.popleft() if self.faults else ""
-            if fault == "picky":  # it will not have what names a bad server, in any call
+            if fault == "picky":  # it refuses every call with an order that names a bad server
                 self.faults.append(fault)
             if fault == "held":
                 await self.held.wait()
@@ -236,7 +237,7 @@
 
 @asynccontextmanager
 async def calls_to(relay: LoopbackServer, limits: Limits = QUICK):
-    """A client of the relay's calls."""
+    """A client for calls to the relay."""
     calls = Calls(relay.address, CODEC, limits, Counters())
     try:
         yield calls
@@ -277,7 +278,7 @@
 
 
 class RegistryServer(LoopbackServer):
-    """The registry: the whole list, and one behaviour for each watch in turn."""
+    """The registry: it serves the whole list, and each watch in turn by the next of `watches`."""
 
     def __init__(self, *watches: list[bytes | float | int | str]) -> None:
         super().__init__(self.book)
@@ -312,7 +313,7 @@
 
 @asynccontextmanager
 async def following(book: LoopbackServer, known: Listing = EMPTY_LISTING, limits: Limits = QUICK):
-    """A registry client that has been asked to follow, and what it tells."""
+    """A registry client that follows the list, and the events that it has emitted."""
     heard: list[interface.Event] = []
     registry = Registry(book.address, known, heard.append, CODEC, limits, Counters())
     async with running(registry.run()):
@@ -357,7 +358,7 @@
 
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
-    """What is still said until the connection is closed or reset."""
+    """All bytes until the connection is closed or reset."""
     said = b""
     try:
         while piece := await reader.read(100):
