--- a/lapispass/interface.py
+++ b/lapispass/interface.py
@@ -1,7 +1,8 @@
-"""What the decision module is told and what it orders, in the project's own words.
+"""The events that a controller receives and the orders that it returns.
 
-A front turns its protocol into these events and these orders into its protocol.
-Times are whole microseconds; ids are handed back as they came: numbers from one front, words from another.
+A front end translates its protocol into these events, and these orders into its protocol.
+Times are whole microseconds. Ids are returned as they were received: some front ends use numbers, others use
+strings.
 """
 
 from __future__ import annotations
@@ -13,75 +14,79 @@
 
 
 @dataclass(frozen=True, slots=True)
-class VisitClass:
-    """One class of visit, as the deployment lists it."""
+class RequestClass:
+    """One class of requests, as the settings list it."""
 
     name: str
-    agreed_us: int
-    patience_us: int
-    benefit: float
+    deadline_us: int  # the latency that requests of this class are meant to stay below
+    client_timeout_us: int  # clients give up after this time
+    value: float  # what one completed request is worth, relative to the other classes
     writes: bool
-    own_zone: bool
-    repeats: bool = True  # may run again: after any failure, at any server, at any time
+    same_zone_only: bool  # requests are only sent to servers in the proxy's own zone
+    repeatable: bool = True  # may run again: after any failure, at any server, at any time
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What an operator tells a controller at its start."""
+    """The settings that an operator gives a controller at its start."""
 
-    classes: tuple[VisitClass, ...]
+    classes: tuple[RequestClass, ...]
     zones: tuple[str, ...]
-    proxies: int
-    slices: int
-    lease_us: int
-    linger_us: int
-    bare_us: int
-    lines_per_s: float
-    head_lines: float
-    queue_lines: float
-    messages_most: int
-    messages_over_us: int
-    report_every_us: int
-    usual_retry: int
-    asks_for_list: bool
-    may_probe: bool
-    gone_binds: bool  # a server that the list calls gone must be left, though it was never seen to drain
-    admits: str  # levels are a 'share', a 'rate' at each proxy, or have no effect: 'none'
-    cold_us: int
-    cold_share: float
-    fall_multiple: float  # sent so many times what it can do, a cold server falls over
-    load_fields: tuple[str, ...]
-    turn_every_us: int = 5000  # a front hands over news no more often
-
-
-class Entry(NamedTuple):
-    """One backend in the list."""
+    proxies: int  # how many there are; proxies are numbered from 0
+    slices: int  # how many there are; 0 for a deployment without slices
+    lease_us: int  # how long a proxy may go on sending writes after its stream has ended
+    linger_us: int  # how long a server may still be working on a write that it has received
+    unserved_limit_us: int  # how long a slice may be without a backend to pick
+    lines_per_s: float  # how many lines a second the channel to the proxies carries
+    message_overhead_lines: float  # the fixed cost of one message to one proxy, in lines
+    queue_limit_lines: float  # how many lines may wait in the channel
+    max_messages: int  # how many messages may be sent to a proxy within `message_window_us`
+    message_window_us: int
+    report_interval_us: int
+    default_retry: int  # how freely requests are retried, 0 to 3; 1: only those that provably never ran
+    subscribes_to_registry: bool  # the controller must order `WatchRegistry` to get updates
+    probes_allowed: bool
+    must_leave_gone: bool  # slices leave a server that the registry lists as gone, even if it never drained
+    admission_mode: str  # levels are a 'share', a 'rate' at each proxy, or have no effect: 'none'
+    cold_us: int  # how long a server is cold after its start
+    cold_share: float  # the share of its capacity that a server has right after its start
+    cold_overload_factor: float  # a cold server that is sent this many times its capacity fails
+    load_fields: tuple[str, ...]  # the meaning of each value in the `load` of reports and probes
+    turn_interval_us: int = 5000  # a front end delivers events no more often than this
+
+
+class RegistryEntry(NamedTuple):
+    """One backend as the registry lists it."""
 
     backend: BackendId
     zone: str
     state: str
     weight: float | None
-    born_us: int | None
+    started_us: int | None  # by the registry's clock
 
 
 # Events
 
 
-class Listed(NamedTuple):
-    """News of the list: 'changes', 'whole', 'remembered' (whole, perhaps outdated) or 'lost'."""
+class RegistryUpdate(NamedTuple):
+    """An update from the registry.
+
+    The kinds are 'changes', 'whole' (a snapshot), 'remembered' (a snapshot that may be outdated) and 'lost'
+    (the connection to the registry).
+    """
 
     kind: str
-    entries: tuple[Entry, ...]
+    entries: tuple[RegistryEntry, ...]
 
 
-class Woken(NamedTuple):
-    """A wake-up that was asked for has come."""
+class TimerFired(NamedTuple):
+    """A timer that `SetTimer` had set has fired."""
 
     token: int
 
 
-class Probed(NamedTuple):
-    """What a probe found; reason 0 is an answer."""
+class ProbeResult(NamedTuple):
+    """The result of a probe; reason 0 means that the backend answered."""
 
     backend: BackendId
     reason: int
@@ -89,156 +94,181 @@
     load: tuple[float | None, ...] | None
 
 
-class Joined(NamedTuple):
-    """A proxy's stream stands.
+class ProxyJoined(NamedTuple):
+    """A proxy's stream is established.
 
-    `reads_store`: the stream stands since just now, and the proxy reads the slices' tables from the store on
-    it. Until then it writes by what it holds, for a lease after its last stream ended.
+    `reads_store`: the stream has only just been established, and the proxy reads the slices' tables from the
+    store on it. Until then it routes writes by the tables that it holds, for at most a lease after its last
+    stream ended.
     """
 
     proxy: int
-    first: bool
+    first_stream: bool  # the proxy has had no earlier stream
     zone: str
-    visits_per_s: float | None
+    requests_per_s: float | None
     reads_store: bool = False
 
 
-class Left(NamedTuple):
+class ProxyLeft(NamedTuple):
     """A proxy's stream ended."""
 
     proxy: int
 
 
-class Met(NamedTuple):
-    """What the proxies of a zone met at a backend."""
+class ServerReport(NamedTuple):
+    """What the proxies of a zone observed at a backend during one interval."""
 
     backend: BackendId
     zone: str
-    lost: int
+    failed: int
     tries: int
-    took_us: int
-    over_us: int
+    mean_latency_us: int  # of the tries that succeeded
+    interval_us: int
     load: tuple[float | None, ...] | None
 
 
-class Came(NamedTuple):
-    """Visits of a class that came for a slice, or (without slices) to a proxy."""
+class RequestReport(NamedTuple):
+    """How many requests of a class arrived during one interval."""
 
-    place: int
-    visit_class: str
-    visits: int
-    lost: int
-    over_us: int
+    target: int  # the slice, or the proxy where there are no slices
+    request_class: str
+    requests: int
+    failed: int  # may exceed `requests`: a request may fail in the interval after the one it arrived in
+    interval_us: int
 
 
-class Given(NamedTuple):
-    """The store puts a slice in this controller's charge, or takes it out."""
+class SliceGrant(NamedTuple):
+    """The store assigns a slice to this controller, or takes it away."""
 
     slice: int
-    ours: bool
+    granted: bool
 
 
-class Held(NamedTuple):
-    """The owner that the store holds for a slice just given."""
+class StoredOwner(NamedTuple):
+    """The owner that the store holds for a slice that was just granted."""
 
     slice: int
     backend: BackendId
 
 
-class Answered(NamedTuple):
-    """A proxy has applied everything up to a mark."""
+class BarrierAck(NamedTuple):
+    """A proxy has applied all orders up to a barrier."""
 
     proxy: int
-    mark: int
-    took_us: int
+    barrier: int
+    latency_us: int
 
 
-class Holding(NamedTuple):
-    """What the connections that are held at a backend cost it, in visits a second, all gates together."""
+class HeldConnectionLoad(NamedTuple):
+    """The load that held connections put on a backend, in requests a second, summed over all gates."""
 
     backend: BackendId
-    load: float
+    requests_per_s: float
 
 
-class Said(NamedTuple):
-    """A peer controller sent bytes."""
+class PeerMessage(NamedTuple):
+    """Bytes received from a peer controller."""
 
     peer: int
     data: bytes
 
 
-Event = Listed | Woken | Probed | Joined | Left | Met | Came | Given | Held | Answered | Holding | Said
+Event = (
+    RegistryUpdate
+    | TimerFired
+    | ProbeResult
+    | ProxyJoined
+    | ProxyLeft
+    | ServerReport
+    | RequestReport
+    | SliceGrant
+    | StoredOwner
+    | BarrierAck
+    | HeldConnectionLoad
+    | PeerMessage
+)
 
 
 # Orders
 
 
-class Own(NamedTuple):
-    """Set a table's line for a backend (an exclusive slice: its owner)."""
+class SetTableEntry(NamedTuple):
+    """Set a table's entry for a backend; the table of an exclusive slice has one entry, its owner."""
 
     table: int
     backend: BackendId
     weight: float
 
 
-class Empty(NamedTuple):
-    """Take all lines and levels out of a table."""
+class ClearTable(NamedTuple):
+    """Remove all entries and admission levels from a table."""
 
     table: int
 
 
-class Withdraw(NamedTuple):
-    """Shut a backend out of all tables, or let it in again."""
+class SetWithdrawn(NamedTuple):
+    """Withdraw a backend from all tables, or let it in again."""
 
     backend: BackendId
-    out: bool
+    withdrawn: bool
 
 
-class Admit(NamedTuple):
-    """Set the share of some classes that a table lets in (table None: all tables)."""
+class SetAdmission(NamedTuple):
+    """Set the share of some classes that a table admits (table None: all tables)."""
 
     table: int | None
-    classes: int
+    class_mask: int  # bit n stands for class n of the deployment
     retry: int
     share: float
 
 
-class Mark(NamedTuple):
-    """Ask each proxy that this turn reaches (or every one) to answer."""
+class Barrier(NamedTuple):
+    """Ask the proxies that this turn's message reaches, or all, to acknowledge all orders before it."""
 
     number: int
     every_proxy: bool
 
 
-class Bind(NamedTuple):
-    """Put a proxy on a table, where there are no slices."""
+class BindProxy(NamedTuple):
+    """Assign some classes of a proxy to a table, in a deployment without slices."""
 
     proxy: int
     table: int
-    classes: int
+    class_mask: int  # bit n stands for class n of the deployment
 
 
 class Probe(NamedTuple):
-    """Examine a backend."""
+    """Probe a backend."""
 
     backend: BackendId
 
 
-class Wake(NamedTuple):
-    """Ask for a wake-up."""
+class SetTimer(NamedTuple):
+    """Set a timer: `TimerFired` is due at this time."""
 
     token: int
     at_us: int
 
 
-class Follow(NamedTuple):
-    """Ask for the list and its changes from now on."""
+class WatchRegistry(NamedTuple):
+    """Request a snapshot of the registry and all its changes from now on."""
 
 
-class Log(NamedTuple):
-    """A line for whoever is on call."""
+class LogMessage(NamedTuple):
+    """A line for the log that the operator on call reads."""
 
     text: str
 
 
-Order = Own | Empty | Withdraw | Admit | Mark | Bind | Probe | Wake | Follow | Log
+Order = (
+    SetTableEntry
+    | ClearTable
+    | SetWithdrawn
+    | SetAdmission
+    | Barrier
+    | BindProxy
+    | Probe
+    | SetTimer
+    | WatchRegistry
+    | LogMessage
+)
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -79,7 +79,12 @@
     + b":\r\n"
     + event("GRANT", "shard=4&set=0")
 )
-HEARD = [*SNAPSHOT_EVENTS, interface.Answered(1, 9, 2500), interface.Left(1), interface.Given(4, False)]
+HEARD = [
+    *SNAPSHOT_EVENTS,
+    interface.BarrierAck(1, 9, 2500),
+    interface.ProxyLeft(1),
+    interface.SliceGrant(4, False),
+]
 
 
 async def news_heard(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -14,7 +14,12 @@
 
 SLICES, PROXIES = 8, 4
 DEPLOYMENT = replace(
-    SMALL_DEPLOYMENT, slices=SLICES, proxies=PROXIES, may_probe=False, asks_for_list=True, cold_us=1
+    SMALL_DEPLOYMENT,
+    slices=SLICES,
+    proxies=PROXIES,
+    probes_allowed=False,
+    subscribes_to_registry=True,
+    cold_us=1,
 )
 
 
