--- a/lapispass/net/http.py
+++ b/lapispass/net/http.py
@@ -219,9 +219,9 @@
     async def body(self, max_bytes: int, received: Callable[[], None] = lambda: None) -> bytes:
         """The whole body; an EOFError if it is longer than `max_bytes`. Calls `received` after each chunk."""
         whole = bytearray()
-        while piece := await self.read_chunk():
+        while chunk := await self.read_chunk():
             received()
-            whole += piece
+            whole += chunk
             if len(whole) > max_bytes:
                 raise EOFError(f"response body longer than {max_bytes} bytes")
         return bytes(whole)
--- a/lapispass/net/lines.py
+++ b/lapispass/net/lines.py
@@ -15,14 +15,14 @@
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes, self.unfinished = max_bytes, bytearray()
 
-    def split(self, piece: bytes | bytearray | memoryview) -> Iterator[memoryview]:
-        """Yields the lines completed by `piece`, without LF or CRLF.
+    def split(self, chunk: bytes | bytearray | memoryview) -> Iterator[memoryview]:
+        """Yields the lines completed by `chunk`, without LF or CRLF.
 
         Each line is valid only until the next one is requested.
         """
-        view, begin = memoryview(piece), 0
-        whole = piece if isinstance(piece, (bytes, bytearray)) else bytes(piece)
-        while (end := whole.find(b"\n", begin)) >= 0:
+        view, begin = memoryview(chunk), 0
+        data = chunk if isinstance(chunk, (bytes, bytearray)) else bytes(chunk)
+        while (end := data.find(b"\n", begin)) >= 0:
             if self.unfinished:
                 self.unfinished += view[begin:end]
                 line = memoryview(bytes(self.unfinished))
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -25,7 +25,7 @@
 
 
 async def answer(address: tuple[str, int]) -> bytes:
-    """The head of what the gate answers, or why there is none."""
+    """The head of the gate's response, or the error text if there is none."""
     try:
         async with asyncio.timeout(DUE_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -65,7 +65,7 @@
 
 
 async def first_frame(address: tuple[str, int]) -> int:
-    """The type of the first frame of an HTTP/2 server; -1 where none comes in time."""
+    """The type of an HTTP/2 server's first frame, or -1 if none arrives in time."""
     try:
         async with asyncio.timeout(DUE_S):
             reader, writer = await asyncio.open_connection(*address)
--- a/tests/test_acceptor.py
+++ b/tests/test_acceptor.py
@@ -1,4 +1,4 @@
-"""What a connection has when it is handed to its protocol."""
+"""The options of an accepted connection."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def test_answers_do_not_wait_for_the_client_to_acknowledge_earlier_ones() -> None:
-    """Guards against Nagle's algorithm: a second answer waited 40 ms for the client's delayed ACK."""
+    """With Nagle's algorithm, a second answer waited 40 ms for the client's delayed ACK."""
 
     async def test() -> None:
-        taken: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+        connections: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            taken.put_nowait((reader, writer))
+            connections.put_nowait((reader, writer))
 
         listener = listen_at("127.0.0.1:0", 8)
         acceptor = Acceptor(
@@ -33,7 +33,7 @@
         try:
             _, client = await asyncio.open_connection(*listener.getsockname())
             async with asyncio.timeout(5):
-                _, writer = await taken.get()
+                _, writer = await connections.get()
             accepted = writer.get_extra_info("socket")
             assert accepted.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             client.close()
--- a/tests/test_close_reasons.py
+++ b/tests/test_close_reasons.py
@@ -1,4 +1,4 @@
-"""Why a connection of the listening address ended, as its counter and its log line say."""
+"""The reason of a close, as its counter and its log line report it."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def test_a_connection_cancelled_with_the_process_is_no_fault(caplog: pytest.LogCaptureFixture) -> None:
-    """Guards against `fault` in counter and log, and a warning, for a connection that the end cancelled."""
+    """A connection cancelled by the shutdown must not be reported as a fault or logged as a warning."""
 
     async def test() -> None:
         async with listening() as (collectors, _, connect):
             await connect()
             await until(lambda: collectors.connections)
-            for task in collectors.tasks:  # as the loop does with what is left at the end of the process
+            for task in collectors.tasks:  # as the loop does with remaining tasks at the end of the process
                 task.cancel()
             await until(lambda: not collectors.tasks)
             assert collectors.counters["collectors.ended.process_ends"] == 1
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -1,4 +1,4 @@
-"""The listening address on loopback: collectors that report, and clients that misbehave or only ask."""
+"""The listening server on loopback: collectors, clients that send pings, and clients that misbehave."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def test_reports_come_in_pieces_or_many_at_once_and_are_never_answered() -> None:
     async with listening() as (_, heard, connect):
         reader, writer = await connect(JOIN + LOAD_LINE[:7])
-        await asyncio.sleep(2 * QUICK.join_us / 1e6)  # who has joined may be silent
+        await asyncio.sleep(2 * QUICK.join_us / 1e6)  # a client that has joined may be silent
         writer.write(LOAD_LINE[7:] + LOAD_LINE * 5000 + b"LATER kind=odd\r\n")
         await until(lambda: len(heard) == 5001)
         assert set(heard) == {LOAD_REPORT}
@@ -54,8 +54,8 @@
         b"SUBSCRIBE node=1 locality=a w=1 cold=1\r\n",
     ],
 )
-async def test_a_stranger_is_turned_away_at_once_or_when_its_time_to_join_is_over(said: bytes) -> None:
-    # On a day of bad clients one in 16 was left with neither a word nor a close.
+async def test_an_unidentified_client_is_rejected_at_once_or_after_its_time_to_join(said: bytes) -> None:
+    # Of many bad clients, one in 16 got neither a rejection nor a close.
     async with listening(replace(QUICK, message_bytes=8000)) as (collectors, heard, connect):
         _, good = await connect()
         reader, bad = await connect(said)
@@ -67,7 +67,7 @@
         good.close()
 
 
-async def test_who_asks_for_a_sign_of_life_may_stay_and_hears_nothing_unasked() -> None:
+async def test_a_client_that_sends_pings_may_stay_and_gets_nothing_but_answers() -> None:
     async with listening() as (_, _, connect):
         reader, writer = await connect(b"")
         for wait_s in (*[QUICK.join_us / 4e6] * 8, 3 * QUICK.join_us / 1e6, 5 * QUICK.message_us / 1e6):
@@ -115,8 +115,8 @@
         assert collectors.counters["collectors.crowded_out"] == 2
 
 
-async def test_spoilt_reports_cost_only_themselves_and_a_stream_that_stays_spoilt_is_ended() -> None:
-    # A collector was cut off for every 20 spoilt reports of a day, and with it the sound ones on their way.
+async def test_malformed_reports_are_skipped_and_a_stream_that_stays_malformed_is_ended() -> None:
+    # A collector was disconnected after 20 malformed reports in all, and valid ones in flight were lost.
     async with listening() as (collectors, heard, connect):
         for bad in (MALFORMED_REPORTS * 9, b"\xff" + LOAD_LINE * 3 + b"\x00"):
             reader, writer = await connect()
@@ -124,27 +124,27 @@
             assert await read_to_end(reader) == b"", "a collector is never written to"
             writer.close()
         await until(lambda: not collectors.connections)
-        # The first stray byte spoils one report; the second shows that there is no wire any more.
+        # The first stray byte corrupts one report; after the second, message boundaries are lost.
         assert heard == [LOAD_REPORT] * 82 and collectors.counters["collectors.turned_away"] == 2
         assert collectors.counters["collectors.unreadable"] == 40 * 6 + QUICK.unreadable_lines + 1 + 1
 
 
-async def test_strangers_that_come_by_hundreds_do_not_keep_collectors_out() -> None:
+async def test_hundreds_of_unidentified_clients_do_not_keep_collectors_out() -> None:
     limits = replace(QUICK, connections=6, accept_batch=2, join_us=20 * SECOND)
     async with listening(limits) as (collectors, heard, connect):
         _, good = await connect(JOIN + LOAD_LINE)
         await until(lambda: heard)
-        strangers = [await connect(b"") for _ in range(200)]
+        unidentified = [await connect(b"") for _ in range(200)]
         _, late = await connect(JOIN + LOAD_LINE)
         await until(lambda: len(heard) == 2 and collectors.counters["collectors.opened"] == 202)
         good.write(LOAD_LINE)
         await until(lambda: len(heard) == 3)
         assert len(collectors.connections) <= 6
-        for _, writer in [*strangers, (None, good), (None, late)]:
+        for _, writer in [*unidentified, (None, good), (None, late)]:
             writer.close()
 
 
-async def test_a_fault_of_our_own_costs_one_connection(caplog: pytest.LogCaptureFixture) -> None:
+async def test_an_internal_error_costs_one_connection(caplog: pytest.LogCaptureFixture) -> None:
     async with listening() as (collectors, _, connect):
         collectors.tell = lambda event: 1 // 0
         reader, writer = await connect()
@@ -171,7 +171,7 @@
 
 
 async def test_a_client_that_reads_late_gets_every_answer() -> None:
-    # It was cut off as soon as 16 KiB of answers waited.
+    # It was disconnected as soon as 16 KiB of answers were queued.
     many = 4000
     async with listening(replace(QUICK, unsent_bytes=8000, unread_us=2 * SECOND)) as (listener, _, connect):
         listener.acceptor.listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -188,26 +188,28 @@
         assert answers == b"PONG\r\n" * many
 
 
-async def test_a_connection_crowded_out_in_the_instant_in_which_it_joins_does_not_count() -> None:
+async def test_a_connection_evicted_at_the_moment_it_joins_does_not_count() -> None:
     async with listening(replace(QUICK, connections=2, join_us=20 * SECOND)) as (collectors, heard, connect):
         _, good = await connect(JOIN + LOAD_LINE)
         await until(lambda: heard)
         await connect(b"")
         await until(lambda: len(collectors.connections) == 2)
-        quiet = next(guest for guest in collectors.connections if guest.zone is None)
-        collectors.evict(quiet)
-        collectors.handle_line(memoryview(JOIN.strip()), quiet)  # its line had been read
-        assert quiet not in collectors.connections and len(collectors.connections) == 1
+        client = next(connection for connection in collectors.connections if connection.zone is None)
+        collectors.evict(client)
+        collectors.handle_line(memoryview(JOIN.strip()), client)  # its line had been read already
+        assert client not in collectors.connections and len(collectors.connections) == 1
         good.write(LOAD_LINE)
         await until(lambda: len(heard) == 2)
 
 
-async def test_a_connection_taken_in_the_instant_of_the_end_is_closed() -> None:
+async def test_a_connection_accepted_at_the_moment_of_the_close_is_closed() -> None:
     collectors = Collectors(lambda event: None, CODEC, QUICK, Counters())
     await collectors.listen("127.0.0.1:0")
     port = collectors.acceptor.sockets[0].getsockname()[1]
     collectors.close()
-    server = await asyncio.start_server(collectors.serve, "127.0.0.1", 0)  # as one taken just before
+    server = await asyncio.start_server(
+        collectors.serve, "127.0.0.1", 0
+    )  # like a connection accepted just before
     port = server.sockets[0].getsockname()[1]
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     assert await read_to_end(reader) == b"" and not collectors.tasks and not collectors.connections
@@ -215,13 +217,13 @@
     server.close()
 
 
-async def test_floods_keep_no_sign_of_life_and_no_report_waiting() -> None:
+async def test_floods_delay_no_ping_and_no_report() -> None:
     limits = replace(QUICK, connections=32, accept_batch=8, join_us=SECOND)
     async with listening(limits) as (_, heard, connect):
         _, good = await connect()
         flooding = True
 
-        async def strangers() -> None:
+        async def unidentified() -> None:
             while flooding:
                 _, writer = await connect(b"PING\r\n" * 500)
                 await asyncio.sleep(0)
@@ -234,7 +236,7 @@
                 await writer.drain()
                 await asyncio.sleep(0.002)
 
-        floods = [asyncio.create_task(life()) for life in (strangers, strangers, reports)]
+        floods = [asyncio.create_task(life()) for life in (unidentified, unidentified, reports)]
         waits = []
         for _ in range(20):
             began = time.monotonic()
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -35,8 +35,8 @@
 drawn = drawing(derandomize=True, database=None, deadline=None, max_examples=60)
 
 
-class Said:
-    """A connection that says these pieces and then ends."""
+class ScriptedConnection:
+    """A connection that receives these chunks and then ends."""
 
     address, usable, watch_from = "", True, 5
 
@@ -61,10 +61,10 @@
         self.closed = True
 
 
-def cut(whole: bytes, places: list[int]) -> list[bytes]:
-    """The pieces between the places, none of them empty."""
-    marks = sorted({place % len(whole) for place in places} | {0, len(whole)})
-    return [whole[begin:end] for begin, end in pairwise(marks) if begin < end]
+def cut(whole: bytes, positions: list[int]) -> list[bytes]:
+    """The chunks between the given positions, none of them empty."""
+    bounds = sorted({position % len(whole) for position in positions} | {0, len(whole)})
+    return [whole[begin:end] for begin, end in pairwise(bounds) if begin < end]
 
 
 def event(kind: str, data: str) -> bytes:
@@ -91,7 +91,7 @@
     heard: list[interface.Event] = []
     calls = Calls("", CODEC, QUICK, Counters())
     news = News("", calls, heard.append, CODEC, QUICK, Counters())
-    news.place.standby = Said(pieces, ends)
+    news.place.standby = ScriptedConnection(pieces, ends)
     await news.stream()
     assert not calls.quiet.locked() and news.picture is None and news.counters["news.lost"] == 1
     return heard, news
@@ -107,14 +107,14 @@
             *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1),
         )
         seen.add(len(heard))
-    assert seen == {0, *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1)}, "half a picture tells nothing"
+    assert seen == {0, *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1)}, "an incomplete snapshot causes no event"
 
 
 @drawn
 @given(some.lists(some.integers(0, 10_000), max_size=40))
-def test_news_mean_the_same_in_any_pieces(places: list[int]) -> None:
+def test_news_mean_the_same_in_any_pieces(positions: list[int]) -> None:
     async def test() -> None:
-        heard, _ = await news_heard(cut(NEWS, places), b"")
+        heard, _ = await news_heard(cut(NEWS, positions), b"")
         assert heard == HEARD
 
     play(test())
@@ -131,7 +131,7 @@
 async def list_heard(pieces: list[bytes]) -> tuple[list[interface.Event], Registry]:
     heard: list[interface.Event] = []
     registry = Registry("", KNOWN, heard.append, CODEC, QUICK, Counters())
-    said = registry.place.standby = Said(pieces)
+    said = registry.place.standby = ScriptedConnection(pieces)
     await registry.watch()
     assert said.closed and not registry.open.is_set() and LOST not in heard
     return heard[1:], registry
@@ -146,16 +146,16 @@
 
 @drawn
 @given(some.lists(some.integers(0, 10_000), max_size=40))
-def test_a_watch_means_the_same_in_any_pieces(places: list[int]) -> None:
+def test_a_watch_means_the_same_in_any_pieces(positions: list[int]) -> None:
     async def test() -> None:
-        heard, registry = await list_heard(cut(LINES, places))
+        heard, registry = await list_heard(cut(LINES, positions))
         assert [len(told.entries) for told in heard] == [1, 2] and registry.version == 7
 
     play(test())
 
 
 class Transport:
-    """Where a connection's answers go."""
+    """Collects what is written to a connection."""
 
     def __init__(self) -> None:
         self.said, self.aborted = b"", False
@@ -193,7 +193,7 @@
 @drawn
 @given(some.lists(some.integers(0, 10_000), max_size=30), some.integers(0, len(REPORTS)), some.booleans())
 def test_a_collectors_bytes_mean_the_same_in_any_pieces_and_half_a_line_is_none(
-    places: list[int], until: int, closing: bool
+    positions: list[int], until: int, closing: bool
 ) -> None:
     async def test() -> None:
         heard: list[interface.Event] = []
@@ -201,8 +201,8 @@
         reader, writer = Reader(), Writer()
         life = asyncio.create_task(collectors.serve(reader, writer))  # type: ignore[arg-type]
         said = REPORTS[:until]
-        for read_chunk in cut(said, places) if said else []:
-            reader.feed_data(read_chunk)
+        for chunk in cut(said, positions) if said else []:
+            reader.feed_data(chunk)
             await asyncio.sleep(0)
         if closing:
             collectors.close()
--- a/tests/test_flooded_end.py
+++ b/tests/test_flooded_end.py
@@ -1,4 +1,4 @@
-"""The end of a process whose clients ask without a pause until it comes."""
+"""The shutdown of a process whose clients send requests without a pause."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 async def flood(running: Controller) -> int:
-    """Asks without a pause until the connection ends; the bytes that were answered."""
+    """Sends requests without a pause until the connection ends; returns the number of answered bytes."""
     reader, writer = await running.connect()
 
     async def ask() -> None:
@@ -35,7 +35,7 @@
 
 
 async def test_requests_that_were_read_are_answered_before_the_kill_however_many_come(tmp_path: Path) -> None:
-    """Guards against an end that never came: each read found more, and what was read last was dropped."""
+    """Each read found more input, so the shutdown never ended, and the last requests read were dropped."""
     faults, loop = Faults(tmp_path / "faults"), asyncio.get_running_loop()
     async with controller(tmp_path, faults=faults) as running:
         clients = [asyncio.create_task(flood(running)) for _ in range(CLIENTS)]
@@ -47,4 +47,4 @@
         assert loop.time() - begun < KILL_S
     assert answered > 100 * len(PONG)
     lost = faults.bytes_read() // len(PING) - answered // len(PONG)
-    assert lost < CLIENTS, f"{lost} of {answered // len(PONG)}"  # each may end within a message
+    assert lost < CLIENTS, f"{lost} of {answered // len(PONG)}"  # each connection may end within a message
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Connections and limits of time: what comes up or ends just as it is no longer waited for."""
+"""Time-outs of connections, in particular results that arrive just as they are no longer awaited."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     waiter = asyncio.create_task(within(10 * SECOND, work(), 0, unwanted.append))
     await asyncio.sleep(0.01)
     gate.set()
-    await asyncio.sleep(0)  # the work is done; its waiter has not been woken yet
+    await asyncio.sleep(0)  # the work is done, but its waiter has not resumed yet
     waiter.cancel()
     await asyncio.gather(waiter, return_exceptions=True)
     assert waiter.cancelled() and unwanted == ["connection"]
@@ -45,7 +45,7 @@
             (found,) = await asyncio.gather(dial, return_exceptions=True)
             if isinstance(found, HttpConnection):
                 found.close()
-        await until(lambda: all(task.done() for task in party.tasks))  # each was ended from our side
+        await until(lambda: all(task.done() for task in party.tasks))  # our side has closed each of them
 
 
 async def test_dials_that_take_just_over_their_limit_come_up_and_quick_ones_set_it_back(
@@ -56,11 +56,11 @@
         dialer = Dialer(replace(QUICK, connect_us=40 * MS, connect_max_us=160 * MS, late_us=0))
         dial = HttpConnection._dial
 
-        async def slow(address: str, limits: Limits) -> HttpConnection:
+        async def slow_dial(address: str, limits: Limits) -> HttpConnection:
             await asyncio.sleep(0.06)
             return await dial(address, limits)
 
-        HttpConnection._dial = slow  # `monkeypatch` puts it back
+        HttpConnection._dial = slow_dial  # restored by `monkeypatch`
         with pytest.raises(TimeoutError):
             await dialer.open(party.address)
         (await dialer.open(party.address)).close()
@@ -80,7 +80,7 @@
     loop = asyncio.get_running_loop()
     task = asyncio.create_task(within(20 * MS, reader.readexactly(6), 50 * MS))
     await asyncio.sleep(0)
-    loop.call_later(0.001, time.sleep, 0.1)  # the process stands still
+    loop.call_later(0.001, time.sleep, 0.1)  # the process is stalled
     loop.call_later(0.1, reader.feed_data, b"answer")
     assert await task == b"answer"
     with pytest.raises(TimeoutError):
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines come whole and in order, or not at all, and never wait."""
+"""Log lines are written completely and in order, or dropped, and never block the process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_a_line_that_is_written_in_parts_is_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    # After a short write the next line went on in the middle of the one before.
+    # After a short write, the next line used to begin in the middle of the previous one.
     reader, writer = os.pipe()
     whole, left = os.write, [3, 0, 5]
 
@@ -78,11 +78,11 @@
     line, _, up = os.read(read, 10_000).decode().rpartition(" up=")
     assert line.endswith(' level=info part=news event="news lost" why="a \\"b\\"\\nc" count=3 part_of=0.25')
     assert re.fullmatch(r"\d+\.\d{3}\n", up)
-    for _ in range(2000):  # nobody reads: the pipe fills up
+    for _ in range(2000):  # without a reader the pipe fills up
         handler.handle(record)
     assert handler.lost > 0
     os.close(read)
-    handler.handle(record)  # nor does a reader that went away do harm
+    handler.handle(record)  # a reader that has gone away does no harm either
     os.close(write)
 
 
@@ -97,7 +97,7 @@
 
 
 def test_a_line_that_had_to_wait_is_written_without_a_further_one() -> None:
-    """Guards against a log whose last line, of a start or of an end, is seen only with the next one."""
+    """The last line of a start or an end must not stay buffered until the next one."""
     read, write = os.pipe()
     os.set_blocking(write, False)
     filled = 0
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -1,4 +1,4 @@
-"""A call of ours that fails for a moment says nothing of the server it was meant for."""
+"""A transient error of a local system call says nothing about the server that is probed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Dials:
-    """Makes the next dials fail."""
+    """Makes the next calls of connect fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.left, self.error, self.failed = 0, 0, 0
@@ -55,16 +55,19 @@
 async def test_a_dial_that_fails_for_a_moment_is_no_refusal_of_the_server(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # One probe that found no free port passed for a refused connection, which ends a server that drains.
+    # A probe that found no free local port was taken for a refused connection, and a refused connection means
+    # that a draining server has ended.
     dials, found = Dials(monkeypatch), {}
     async with LoopbackServer(healthy) as server:
         for error in (*LOCAL, *ROUTE):
             dials.left, dials.error = 2, error
             found[errno.errorcode[error], "for a moment"] = [
-                told.reason for told in await probe(server.address)
+                probed.reason for probed in await probe(server.address)
             ]
             dials.left = 1_000_000
-            found[errno.errorcode[error], "for good"] = [told.reason for told in await probe(server.address)]
+            found[errno.errorcode[error], "for good"] = [
+                probed.reason for probed in await probe(server.address)
+            ]
             dials.left = 0
     expected = {}
     for error in (*LOCAL, *ROUTE):
@@ -74,7 +77,7 @@
 
 
 async def test_a_server_that_resets_each_connection_is_told_as_such(monkeypatch: pytest.MonkeyPatch) -> None:
-    # A reset that came before the peer's name was asked for passed for a connect that never began.
+    # A reset that came before the peer's address was read was taken for a connect that never began.
     def reset_all(listener: socket.socket) -> None:
         while True:
             try:
@@ -89,16 +92,16 @@
     def connect_and_be_reset(connection: socket.socket, address: Any) -> None:
         connection.setblocking(True)
         connect(connection, address)
-        time.sleep(0.01)  # until the reset has come
+        time.sleep(0.01)  # until the reset has arrived
         connection.setblocking(False)
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         serving = threading.Thread(target=reset_all, args=(listener,))
         serving.start()
         address = "{}:{}".format(*listener.getsockname())
-        found = [told.reason for _ in range(50) for told in await probe(address)]
+        found = [probed.reason for _ in range(50) for probed in await probe(address)]
         monkeypatch.setattr(socket.socket, "connect", connect_and_be_reset)
-        found += [told.reason for _ in range(10) for told in await probe(address)]
+        found += [probed.reason for _ in range(10) for probed in await probe(address)]
         listener.shutdown(socket.SHUT_RDWR)
         serving.join()
     assert len(found) == 60 and set(found) <= {BROKE, UNREACHABLE}
--- a/tests/test_momentary_shortages.py
+++ b/tests/test_momentary_shortages.py
@@ -1,4 +1,4 @@
-"""A machine that is short of something for a moment makes a controller late for nothing that it owes."""
+"""A temporary shortage on the local machine delays no answer and no withdrawal of a controller."""
 
 from __future__ import annotations
 
@@ -13,17 +13,20 @@
 from two_controllers import GRACE_AT_START_S, SETTINGS, SIZE, WITHDRAWN_US, Fleet, Proxies
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
-CLIENTS = 40  # that come together
-OFTEN = 600  # thousandths of the calls
+CLIENTS = 40  # that connect at the same time
+OFTEN = 600  # failing calls, in thousandths
 DUE_S = 0.5  # for an answer
 SHORTAGES = (errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-WITHOUT_PROBES = {**SETTINGS, "limits": {"probes": False}}  # they would take failures from the others
-FAILED_CONNECTS = 32  # in a row, at relay and registry together
+WITHOUT_PROBES = {
+    **SETTINGS,
+    "limits": {"probes": False},
+}  # probes would use up failures meant for other calls
+FAILED_CONNECTS = 32  # in a row, of relay and registry together
 LOOK_S = 0.01
 
 
 async def ask(address: tuple[str, int]) -> float:
-    """How long a new client waits for its answer, in seconds."""
+    """The seconds until a new client has its answer."""
     loop = asyncio.get_running_loop()
     begun = loop.time()
     reader, writer = await asyncio.open_connection(*address)
@@ -36,7 +39,7 @@
 
 
 async def slowest_answers_s(folder: Path) -> dict[str, float]:
-    """Clients come together while accept fails now and then, by error."""
+    """The longest wait of clients that connect while accept fails at times, by error."""
     slowest_s = {}
     async with controller(folder) as running:
         for error in SHORTAGES:
@@ -48,7 +51,7 @@
 
 
 async def withdrawal_s(folder: Path) -> float:
-    """A server drains, told as soon as time limits run, where connects have failed since the start."""
+    """The seconds until a draining server is withdrawn, after connects have failed since the start."""
     loop, faults, fleet = asyncio.get_running_loop(), Faults(folder / "faults"), Fleet(random.Random(1))
     proxies = Proxies(range(0, SIZE.slices, SIZE.real))
     await fleet.open()
@@ -78,8 +81,8 @@
 
 
 def test_a_shortage_of_this_machine_makes_no_answer_and_no_withdrawal_late(tmp_path: Path) -> None:
-    # Guards against pauses that double although only this machine failed: clients waited in the queue to be
-    # accepted, and a registry that was never asked told nothing of a server that drained.
+    # Pauses must not double when only the local machine failed. Otherwise clients waited in the accept queue,
+    # and a registry that was not queried did not report a draining server.
     async def test() -> None:
         took_s = await slowest_answers_s(tmp_path)
         due_s = dict.fromkeys(took_s, DUE_S)
--- a/tests/test_prompt_answers.py
+++ b/tests/test_prompt_answers.py
@@ -1,4 +1,4 @@
-"""Sound clients are answered in time without any fault, however their requests come and whoever else asks."""
+"""Clients are answered in time without faults, however their requests are split and whoever else connects."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 DUE_S = 0.5  # for an answer
-PAIR_DUE_S = 0.02  # half of the time after which a client's system acknowledges an answer unasked
-MESSAGE_S = 2.0  # for which an unfinished message is waited for
+PAIR_DUE_S = 0.02  # half of the delay of a client's delayed ACK
+MESSAGE_S = 2.0  # the time limit of an incomplete message
 FLOODING, FLOOD_S = 4, 4.0  # clients, and for how long
 FLOOD = Path(__file__).with_name("flood.py")
 
@@ -25,7 +25,7 @@
 
 
 async def speak_in_halves(running: Controller, cut: int, for_s: float) -> bytes:
-    """Sends the end of each message with the beginning of the next; what came in place of an answer."""
+    """Sends the end of each message together with the start of the next; returns a wrong answer or error."""
     loop = asyncio.get_running_loop()
     reader, writer = await running.connect()
     until = loop.time() + for_s
@@ -45,7 +45,7 @@
 
 
 async def messages_in_halves(folder: Path) -> Wrong:
-    """Each segment ends a message and begins the next, for longer than one message may take."""
+    """Each segment ends one message and begins the next, for longer than the time limit of a message."""
     folder.mkdir()
     async with controller(folder) as running:
         cuts = range(1, len(PING))
@@ -56,7 +56,7 @@
 async def shortest_pair_s(
     ask_one: Callable[[], Awaitable[None]], ask_two: Callable[[], Awaitable[None]]
 ) -> float:
-    """How long two requests at once take at least, each time after some that came one by one."""
+    """The shortest time that two requests sent at once take; each pair follows some single requests."""
     loop, took = asyncio.get_running_loop(), []
     for _ in range(5):
         for _ in range(10):
@@ -69,7 +69,7 @@
 
 
 async def pairs_at_a_controller(folder: Path) -> Wrong:
-    """Two requests come in one segment."""
+    """Two requests arrive in one segment."""
     folder.mkdir()
     async with controller(folder) as running:
         reader, writer = await running.connect()
@@ -84,7 +84,7 @@
 
 
 async def pairs_at_a_gate(folder: Path) -> Wrong:
-    """Two messages of a client are answered by its node one after the other."""
+    """Several messages of a client are answered by its node, one after the other."""
     folder.mkdir()
     faults, address, file = Faults(folder / "faults"), free_address(), folder / "operator.textproto"
     async with CounterNode("n0") as node:
@@ -107,7 +107,7 @@
 
 
 async def beside_a_flood(folder: Path) -> Wrong:
-    """Other clients ask without a pause; this one on a connection that it keeps, and on new ones."""
+    """Other clients send requests without a pause; this one uses a kept connection and new ones."""
     folder.mkdir()
     loop, slowest = asyncio.get_running_loop(), {"kept": 0.0, "new": 0.0}
 
@@ -135,11 +135,13 @@
 
 
 def test_sound_clients_are_answered_in_time_however_and_beside_whomever_they_ask(tmp_path: Path) -> None:
-    """The time of an unfinished message ran from the first one on, where each segment began the next; the
-    second of two answers waited until the client's system acknowledged the first; a few clients that asked
-    without a pause kept all others waiting.
+    """Three failures that delayed answers.
 
-    One test for all, since each of them is known to fail; each that is mended may become one of its own.
+    If each segment began the next message, the time limit ran from the first message. The second of two
+    answers waited until the client's system had acknowledged the first. A few clients that sent requests
+    without a pause delayed all others.
+
+    The cases share a test because each was known to fail; one that is fixed may get a test of its own.
     """
 
     async def test() -> None:
--- a/tests/test_retrying_selector.py
+++ b/tests/test_retrying_selector.py
@@ -1,4 +1,4 @@
-"""A selector and sockets of which no failing system call costs a connection that was accepted."""
+"""No failing system call of the selector or of a socket costs an accepted connection."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FailingEpoll:
-    """An epoll object whose changes fail where `fails` says so."""
+    """An epoll object whose changes fail with the errno that `fails` returns, if not 0."""
 
     def __init__(self, fails: Callable[[], int]) -> None:
         self.real, self.fails = select.epoll(), fails
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_select_tells_what_is_ready_however_often_epoll_ctl_fails(seed: int) -> None:
-    """Guards against a descriptor that is never heard of, or heard of after it was unregistered."""
+    """No descriptor is missed, and none is reported after it was unregistered."""
     chance = random.Random(seed)
     with ExitStack() as stack:
         tested = selector(lambda: chance.choice((0, errno.ENOMEM, errno.ENOSPC)))
@@ -99,7 +99,7 @@
 
 
 def test_a_wait_ends_with_what_comes_while_every_registration_is_refused() -> None:
-    """Guards against a loop that sleeps through what comes on a connection that the system does not watch."""
+    """The loop must not sleep while input arrives on a descriptor that epoll does not watch."""
     with ExitStack() as stack:
         tested = selector(lambda: errno.ENOMEM)
         stack.callback(tested.close)
@@ -111,7 +111,7 @@
 
 
 def test_what_cannot_be_unregistered_does_not_take_the_processor() -> None:
-    """Guards against a loop that spins on a descriptor that the system goes on to call writable."""
+    """The loop must not spin on a descriptor that epoll still reports as writable."""
     failing = [0]
     with ExitStack() as stack:
         tested = selector(lambda: failing[0])
@@ -121,11 +121,11 @@
         failing[0] = errno.ENOMEM
         tested.unregister(own)
         tested.register(own, READ, "reading")
-        looks, until = 0, time.monotonic() + 0.2
+        rounds, until = 0, time.monotonic() + 0.2
         while time.monotonic() < until:
             assert tested.select(0.05) == []
-            looks += 1
-        assert looks <= 0.2 / PAUSE_S + 1
+            rounds += 1
+        assert rounds <= 0.2 / PAUSE_S + 1
         peer.send(b"x")
         assert [(key.data, events) for key, events in tested.select(5)] == [("reading", READ)]
         failing[0] = 0
@@ -160,7 +160,7 @@
 
 
 class Gone(ResilientSocket):
-    """A socket whose peer has been reset when the stream is ended."""
+    """A socket whose peer has already reset the connection when the stream is shut down."""
 
     ended = False
 
@@ -170,13 +170,13 @@
         super().shutdown(how)
 
     def detach_peer(self) -> None:
-        """An unconnected socket in its place: shutdown(2) gives ENOTCONN."""
+        """Replaces the socket by an unconnected one, so that shutdown(2) fails with ENOTCONN."""
         with socket.socket(socket.AF_INET) as unconnected:
             os.dup2(unconnected.fileno(), self.fileno())
 
 
 def failing_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The C library's calls under `Failing` fail; its Python methods are those of `ResilientSocket`."""
+    """Makes the underlying calls of `Failing` sockets fail; their methods are those of `ResilientSocket`."""
     for name in ("recv", "send", "setsockopt", "close"):
         plain = getattr(socket.socket, name)
 
@@ -195,7 +195,7 @@
 def test_a_request_is_answered_although_each_call_on_its_connection_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against asyncio, which drops a connection for ENOBUFS of recv, send or setsockopt."""
+    """asyncio by itself drops a connection for ENOBUFS of recv, send or setsockopt."""
     failing_calls(monkeypatch)
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -214,7 +214,7 @@
         await loop.sock_sendall(peer, b"PING\n")
         async with asyncio.timeout(2):
             assert await loop.sock_recv(peer, 100) == b"PING\n"
-            assert await loop.sock_recv(peer, 100) == b""  # closed, whatever close said
+            assert await loop.sock_recv(peer, 100) == b""  # closed, although close failed
         assert transport.is_closing()
         peer.close()
 
@@ -222,13 +222,15 @@
     play(test())
     new = {name for name, count in call_failures.counted().items() if count > before.get(name, 0)}
     assert new == {f"system.{call}.ENOBUFS" for call in ("recv", "send", "close")} | (
-        {"system.setsockopt.ENOBUFS"} & new  # a Unix socket has no option to be set
+        {"system.setsockopt.ENOBUFS"} & new  # no option is set on a Unix socket
     )
 
 
 async def test_a_peer_that_is_gone_when_our_side_ends_its_stream_leaves_no_trace() -> None:
-    """Guards against an end of the stream that fails (ENOTCONN) in a callback of asyncio; the log is held to
-    be free of traces by conftest.py."""
+    """A shutdown that fails with ENOTCONN in a callback of asyncio must not be logged as a traceback.
+
+    conftest.py checks that the log has no tracebacks.
+    """
     loop = asyncio.get_running_loop()
     own, peer = socket.socketpair()
     gone = Gone.adopt(own)
@@ -236,7 +238,7 @@
     transport.pause_reading()
     while not transport.get_write_buffer_size():
         transport.write(bytes(1 << 16))
-    transport.write_eof()  # once all is written, in a callback
+    transport.write_eof()  # takes effect in a callback, after all was written
     peer.setblocking(False)
     async with asyncio.timeout(5):
         while not gone.ended:
--- a/tests/test_unasked_answers.py
+++ b/tests/test_unasked_answers.py
@@ -1,4 +1,4 @@
-"""A client is told what it has asked for, whole and in time, and nothing else, until the process ends."""
+"""A client gets complete and timely answers to its requests, and nothing else, until the process ends."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 NACK = b"NACK why=unreadable\r\n"
-OWED_S = 3.0  # within which a client that has not joined or asked gets a rejection or a close
-KEPT_S = 16.0  # longer than any time after which an idle client was ever closed
+OWED_S = 3.0  # a client that has neither joined nor sent a request is rejected or closed by then
+KEPT_S = 16.0  # longer than any idle time-out that clients ever had
 KILL_S = 0.7  # from SIGTERM to SIGKILL at the earliest
 GATE_FILE = """
 connection_class {{ name: "board" path_prefix: "/board" }}
@@ -24,7 +24,7 @@
 
 
 async def heard(reader: asyncio.StreamReader, for_s: float) -> bytes:
-    """All that comes within this time."""
+    """All bytes that arrive within `for_s` seconds."""
     said = b""
     try:
         async with asyncio.timeout(for_s):
@@ -52,7 +52,7 @@
 
 
 async def test_only_what_cannot_be_read_is_rejected(tmp_path: Path) -> None:
-    # A client that had said nothing was told that it was unreadable.
+    # A client that had sent nothing was rejected as unreadable.
     expected = {b"": b"", b"PI": NACK, b"odd\r\n": NACK, PING + b"PI": PONG + NACK}
     async with controller(tmp_path) as running:
         clients = {said: await running.connect() for said in expected}
@@ -67,7 +67,7 @@
 
 @pytest.mark.time_limit(40)
 async def test_a_ping_in_pieces_is_answered_in_a_crowd(tmp_path: Path) -> None:
-    # Whoever had sent half a PING was closed to make room for the next client, 2 ms later.
+    # A client that had sent half a PING was evicted for the next client 2 ms later.
     async def client(running: Controller, seed: int) -> bytes:
         chance = random.Random(seed)
         await asyncio.sleep(chance.uniform(0, 0.05))
@@ -91,7 +91,7 @@
 
 @pytest.mark.time_limit(40)
 async def test_clients_with_half_a_message_keep_nobody_waiting(tmp_path: Path) -> None:
-    # Where all places were theirs, one of them went each 250 ms; hundreds waited behind them.
+    # If such clients held all connections, one was evicted every 250 ms while hundreds waited.
     async def asks(running: Controller) -> float:
         begun = asyncio.get_running_loop().time()
         reader, writer = await running.connect()
@@ -114,14 +114,14 @@
 
 @dataclass
 class Count:
-    """Of all clients of a process."""
+    """Requests and answers of all clients of a process."""
 
     asked: int = 0
     answered: int = 0
 
 
 async def ask_until_the_end(running: Controller, count: Count, wait_s: float) -> None:
-    """Goes on asking on one connection until it ends."""
+    """Keeps sending requests on one connection until it ends."""
     reader, writer = await running.connect()
     try:
         while True:
@@ -135,7 +135,7 @@
 
 
 async def test_each_request_that_was_read_is_answered_by_a_process_that_ends(tmp_path: Path) -> None:
-    # What came between the decision to close a connection and its close had been read, and was dropped.
+    # Input that arrived between the decision to close a connection and the close was read and dropped.
     async def one(seed: int) -> None:
         chance, count = random.Random(seed), Count()
         async with controller(tmp_path) as running:
@@ -157,7 +157,7 @@
 
 
 async def test_connections_that_wait_to_be_accepted_are_answered_before_the_end(tmp_path: Path) -> None:
-    # They were reset with the listening socket.
+    # They were reset when the listening socket was closed.
     async with controller(tmp_path) as running:
         running.signal(signal.SIGSTOP)
         clients = [await running.connect() for _ in range(120)]
@@ -177,7 +177,7 @@
 
 
 async def test_counters_have_no_names_of_a_strangers_choice(tmp_path: Path) -> None:
-    # One counter came for each line that a stranger had made up.
+    # There was a counter for each unknown line that a client had sent.
     async with controller(tmp_path) as running:
         names = []
         for number in range(50):
@@ -192,7 +192,7 @@
 
 
 async def test_a_gate_tells_nothing_to_a_client_that_never_asked(tmp_path: Path) -> None:
-    # It was told 408: an answer that would pass for that to its next request.
+    # It got a 408, which it would take for the response to its next request.
     faults, address = Faults(tmp_path / "faults"), free_address()
     file = tmp_path / "operator.textproto"
     file.write_text(GATE_FILE.format(listen="{}:{}".format(*address)))
