--- a/lapispass/net/acceptor.py
+++ b/lapispass/net/acceptor.py
@@ -21,9 +21,7 @@
 
 RETRY_PAUSE_US = 5_000  # before the next attempt, if there is no room or accept fails repeatedly
 ATTEMPTS = 8  # failed attempts in a row before a pause
-DESCRIPTOR_WAIT_US = (
-    300_000  # without a descriptor, before `on_exhausted` is called, and between two such calls
-)
+DESCRIPTOR_WAIT_US = 300_000  # without a free descriptor, before each call of `on_exhausted`
 
 
 def listen_at(address: str, backlog: int) -> socket.socket:
@@ -34,8 +32,10 @@
 
 
 async def listen_with_retries(address: str, backlog: int) -> socket.socket:
-    """Like `listen_at`, but retries for a while if the address is temporarily unavailable, as it is while a
-    previous process exits."""
+    """Like `listen_at`, but retries for a while if the address is temporarily unavailable.
+
+    It is unavailable, for example, while a previous process exits.
+    """
     return await retry(lambda: listen_at(address, backlog), _is_transient)
 
 
@@ -63,7 +63,7 @@
     """Accepts connections and gives each a protocol.
 
     After a temporary shortage of descriptors or memory, asyncio's own server accepts nothing for a second,
-    which delays answers on new connections as much. This class retries at once, and with a pause of
+    which delays the answers on new connections. This class retries at once, and with a pause of
     `RETRY_PAUSE_US` after `ATTEMPTS` failures in a row. The pause is short, since the last connections of a
     long queue wait for every pause before them.
 
@@ -91,7 +91,8 @@
         While `has_room` is false, `make_room` is called for each waiting connection; if it returns false, the
         connection stays in the queue. `on_exhausted` is called after the process was without a free
         descriptor for a while, and may free one. `max_read_bytes` bounds the bytes read from a connection at
-        a time, before the others are served."""
+        a time, before the others are served.
+        """
         listener.setblocking(False)
         self.listener, self.protocol, self.name, self.tls = listener, protocol, name, tls
         self.accept_batch, self.max_read_bytes = accept_batch, max_read_bytes
@@ -101,9 +102,8 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.pause: asyncio.TimerHandle | None = None
         self.failed = 0  # attempts that failed in a row
-        self.exhausted_since: float | None = (
-            None  # since when there is no free descriptor, or since the last `on_exhausted`
-        )
+        # When the descriptors ran out, or when `on_exhausted` was last called since then.
+        self.exhausted_since: float | None = None
         self.closed = False
         self.loop.add_reader(listener.fileno(), self._ready)
 
--- a/lapispass/net/client_connection.py
+++ b/lapispass/net/client_connection.py
@@ -48,12 +48,11 @@
         self.lines = LineSplitter(limits.message_bytes)
         self.zone: str | None = None  # set once it has joined
         self.unreadable_in_a_row = 0  # malformed lines since the last valid one
-        self.pings = 0  # received
+        self.pings = 0  # PINGs received
         self.unanswered = 0  # pings that are not answered yet
         self.opened_at = self.last_data_at = self.message_began_at = self.loop.time()
-        self.closing: CloseReason | None = (
-            None  # set once it is to be closed, after its pending input is answered
-        )
+        # Set once the connection is to be closed as soon as its pending input is answered.
+        self.closing: CloseReason | None = None
         self.deadline_passed = False  # the deadline has passed once, and the input that had arrived was read
         self.rejected = False  # a rejection was sent, and the client has a moment to read it
         self.read_timeout: asyncio.Timeout | None = None
@@ -97,11 +96,11 @@
         # A read that finds input never waits, so it never times out. Clients that keep sending requests would
         # otherwise prevent the process from ending.
         if self.closing is not None:
-            piece = await self._read_last()
+            chunk = await self._read_last()
         else:
-            piece = await self._read_in_time()
+            chunk = await self._read_in_time()
         self.last_data_at = self.loop.time()
-        return piece
+        return chunk
 
     async def _read_in_time(self) -> bytes:
         waiting = asyncio.timeout_at(self.deadline())
@@ -124,17 +123,17 @@
         """
         if not self.deadline_passed:
             self.deadline_passed = True
-            piece = await read_arrived(
+            chunk = await read_arrived(
                 self.reader, self.writer, self.limits.quantum_bytes, self.limits.late_us
             )
-            if piece is not None:
-                return piece
+            if chunk is not None:
+                return chunk
         self._pause_reading()
         if unread(self.reader):
             # This does not wait, but it resumes reading in the transport.
-            piece = await self.reader.read(self.limits.quantum_bytes)
+            chunk = await self.reader.read(self.limits.quantum_bytes)
             self._pause_reading()
-            return piece
+            return chunk
         raise ConnectionEnded(self.reason())
 
     def _pause_reading(self) -> None:
--- a/lapispass/net/collectors.py
+++ b/lapispass/net/collectors.py
@@ -1,8 +1,8 @@
 """The listening server: collectors join and forward reports, any client may send PING.
 
 A PING that was read is answered before its connection is closed, whatever the reason for the close (lack of
-room, the end of the process). A client is never sent anything that it did not ask for; only malformed input
-is answered with a rejection.
+room, the end of the process). A client is never sent anything that it did not ask for, except a rejection if
+its input is malformed or incomplete, or if it does not read its answers.
 """
 
 from __future__ import annotations
@@ -130,10 +130,10 @@
     async def read_until_end(self, connection: ClientConnection) -> ConnectionEnded:
         """Handles input until the connection ends; returns why it did."""
         try:
-            while piece := await connection.read():
+            while chunk := await connection.read():
                 self.mark_used(connection)
                 answered = connection.pings
-                self.handle_bytes(piece, connection)
+                self.handle_bytes(chunk, connection)
                 if connection.pings > answered:
                     self.note_answer(connection)
                 await self.wait_until_read(connection)
@@ -154,9 +154,8 @@
 
     async def finish(self, connection: ClientConnection, end: ConnectionEnded) -> None:
         """Flushes unsent bytes. A rejected client is sent a rejection, and has a moment to read it."""
-        is_notified = (
-            end.reason in REJECTED_REASONS and connection.zone is None
-        )  # a collector is never written to
+        # A collector is never written to.
+        is_notified = end.reason in REJECTED_REASONS and connection.zone is None
         if end.reason in REJECTED_REASONS or end.reason is CloseReason.SILENT:
             self.counters["collectors.turned_away"] += 1
         if is_notified:
@@ -176,23 +175,25 @@
             await self.linger(connection)
 
     async def linger(self, connection: ClientConnection) -> None:
-        """Keeps reading for a moment after a rejection: closing with unread input resets the connection, and
-        the reset may overtake the rejection."""
+        """Keeps reading for a moment after a rejection.
+
+        Closing with unread input resets the connection, and the reset may overtake the rejection.
+        """
         connection.rejected = True
         left = self.limits.read_bytes
         try:
             async with asyncio.timeout(self.limits.linger_us / 1e6):
-                while left > 0 and (piece := await connection.reader.read(left)):
-                    left -= len(piece)
+                while left > 0 and (chunk := await connection.reader.read(left)):
+                    left -= len(chunk)
         except OSError:
             pass
 
-    def handle_bytes(self, piece: bytes, connection: ClientConnection) -> None:
-        """Handles the lines that `piece` completes."""
+    def handle_bytes(self, chunk: bytes, connection: ClientConnection) -> None:
+        """Handles the lines that `chunk` completes."""
         message_begins = not connection.unfinished
-        odd = FORBIDDEN_BYTES.search(piece)
+        odd = FORBIDDEN_BYTES.search(chunk)
         try:
-            for line in connection.lines.split(memoryview(piece)[: odd.start()] if odd else piece):
+            for line in connection.lines.split(memoryview(chunk)[: odd.start()] if odd else chunk):
                 message_begins = True
                 self.handle_line(line, connection)
         finally:
@@ -323,8 +324,10 @@
         return not connection.unfinished and connection.silent_us() >= self.limits.eviction_grace_us
 
     def evict_longest_silent(self) -> bool:
-        """Evicts the client that has been silent longest, whatever it is doing, or a collector if there is no
-        other client. False if all connections are being closed already."""
+        """Evicts the client that has been silent longest, whatever it is doing.
+
+        If there are only collectors, one of them is evicted. False if all connections are already closing.
+        """
         client = next(self.candidates(), None)
         if client is None:
             client = next((connection for connection in self.connections if connection.closing is None), None)
--- a/lapispass/net/streams.py
+++ b/lapispass/net/streams.py
@@ -18,9 +18,9 @@
         super().feed_data(data)
 
     async def read(self, n: int = -1) -> bytes:
-        piece = await super().read(n)
-        self.unread -= len(piece)
-        return piece
+        chunk = await super().read(n)
+        self.unread -= len(chunk)
+        return chunk
 
 
 def unread(reader: asyncio.StreamReader) -> int:
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -263,16 +263,16 @@
 
 @asynccontextmanager
 async def events_of(relay: RelayServer):
-    heard: list[interface.Event] = []
+    events: list[interface.Event] = []
     relay.snapshot = list(SNAPSHOT_LINES)
     calls = Calls(relay.address, CODEC, QUICK, Counters())
-    news = News(relay.address, calls, heard.append, CODEC, QUICK, Counters())
+    news = News(relay.address, calls, events.append, CODEC, QUICK, Counters())
     async with running(news.run()):
-        await until(lambda: len(heard) >= 5)
-        assert heard == SNAPSHOT_EVENTS
-        heard.clear()
+        await until(lambda: len(events) >= 5)
+        assert events == SNAPSHOT_EVENTS
+        events.clear()
         try:
-            yield news, heard
+            yield news, events
         finally:
             calls.close()
 
@@ -314,11 +314,11 @@
 @asynccontextmanager
 async def following(book: LoopbackServer, known: Listing = EMPTY_LISTING, limits: Limits = QUICK):
     """A registry client that follows the list, and the events that it has emitted."""
-    heard: list[interface.Event] = []
-    registry = Registry(book.address, known, heard.append, CODEC, limits, Counters())
+    events: list[interface.Event] = []
+    registry = Registry(book.address, known, events.append, CODEC, limits, Counters())
     async with running(registry.run()):
         registry.follow()
-        yield registry, heard
+        yield registry, events
 
 
 S1 = interface.RegistryEntry("s-1", "a", "ready", 1.0, None)
@@ -334,22 +334,22 @@
 
 @asynccontextmanager
 async def listening(limits: Limits = QUICK):
-    heard: list[interface.Event] = []
-    collectors = Collectors(heard.append, CODEC, limits, Counters())
+    events: list[interface.Event] = []
+    collectors = Collectors(events.append, CODEC, limits, Counters())
     await collectors.listen("127.0.0.1:0")
     port = collectors.acceptor.sockets[0].getsockname()[1]
 
     writers: list[asyncio.StreamWriter] = []
 
-    async def connect(said: bytes = JOIN) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def connect(first: bytes = JOIN) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writers.append(writer)
-        writer.write(said)
+        writer.write(first)
         return reader, writer
 
     connect.port = port
     try:
-        yield collectors, heard, connect
+        yield collectors, events, connect
     finally:
         collectors.close()
         for writer in writers:
@@ -359,13 +359,13 @@
 
 async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     """All bytes until the connection is closed or reset."""
-    said = b""
+    received = b""
     try:
-        while piece := await reader.read(100):
-            said += piece
+        while chunk := await reader.read(100):
+            received += chunk
     except OSError:
         pass
-    return said
+    return received
 
 
 def launch(relay: str, registry: str, **changes: Any) -> Launch:
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""Gates and xDS controllers accept clients although accept fails for a moment."""
+"""Gates and xDS controllers accept clients although accept fails temporarily."""
 
 from __future__ import annotations
 
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -27,19 +27,19 @@
 
 
 async def test_reports_come_in_pieces_or_many_at_once_and_are_never_answered() -> None:
-    async with listening() as (_, heard, connect):
+    async with listening() as (_, events, connect):
         reader, writer = await connect(JOIN + LOAD_LINE[:7])
         await asyncio.sleep(2 * QUICK.join_us / 1e6)  # a client that has joined may be silent
         writer.write(LOAD_LINE[7:] + LOAD_LINE * 5000 + b"LATER kind=odd\r\n")
-        await until(lambda: len(heard) == 5001)
-        assert set(heard) == {LOAD_REPORT}
+        await until(lambda: len(events) == 5001)
+        assert set(events) == {LOAD_REPORT}
         writer.write(b"PING\r\n")
         assert await reader.readexactly(6) == b"PONG\r\n"
         writer.close()
 
 
 @pytest.mark.parametrize(
-    "said",
+    "sent",
     [
         b"",
         b"PI",
@@ -54,14 +54,14 @@
         b"SUBSCRIBE node=1 locality=a w=1 cold=1\r\n",
     ],
 )
-async def test_an_unidentified_client_is_rejected_at_once_or_after_its_time_to_join(said: bytes) -> None:
+async def test_an_unidentified_client_is_rejected_at_once_or_after_its_time_to_join(sent: bytes) -> None:
     # Of many bad clients, one in 16 got neither a rejection nor a close.
-    async with listening(replace(QUICK, message_bytes=8000)) as (collectors, heard, connect):
+    async with listening(replace(QUICK, message_bytes=8000)) as (collectors, events, connect):
         _, good = await connect()
-        reader, bad = await connect(said)
+        reader, bad = await connect(sent)
         assert await read_to_end(reader) in (b"NACK why=unreadable\r\n", b"")  # a reset may overtake it
         good.write(LOAD_LINE)
-        await until(lambda: heard == [LOAD_REPORT])
+        await until(lambda: events == [LOAD_REPORT])
         assert collectors.counters["collectors.turned_away"] == 1 and len(collectors.connections) == 1
         bad.close()
         good.close()
@@ -79,7 +79,7 @@
 
 
 async def test_a_collector_joins_where_all_places_are_taken_by_clients_that_keep_asking() -> None:
-    async with listening(replace(QUICK, connections=6, accept_batch=2)) as (collectors, heard, connect):
+    async with listening(replace(QUICK, connections=6, accept_batch=2)) as (collectors, events, connect):
 
         async def ask() -> None:
             reader, writer = await connect(b"")
@@ -92,7 +92,7 @@
         await until(lambda: collectors.counters["collectors.pings"] > 60)
         assert len(collectors.connections) == 6
         await connect(JOIN + LOAD_LINE)
-        await until(lambda: heard)
+        await until(lambda: events)
         assert collectors.counters["collectors.crowded_out"] == 1
         await ended(*asking)
 
@@ -117,7 +117,7 @@
 
 async def test_malformed_reports_are_skipped_and_a_stream_that_stays_malformed_is_ended() -> None:
     # A collector was disconnected after 20 malformed reports in all, and valid ones in flight were lost.
-    async with listening() as (collectors, heard, connect):
+    async with listening() as (collectors, events, connect):
         for bad in (MALFORMED_REPORTS * 9, b"\xff" + LOAD_LINE * 3 + b"\x00"):
             reader, writer = await connect()
             writer.write((MALFORMED_REPORTS + LOAD_LINE) * 40 + bad + LOAD_LINE)
@@ -125,20 +125,20 @@
             writer.close()
         await until(lambda: not collectors.connections)
         # The first stray byte corrupts one report; after the second, message boundaries are lost.
-        assert heard == [LOAD_REPORT] * 82 and collectors.counters["collectors.turned_away"] == 2
+        assert events == [LOAD_REPORT] * 82 and collectors.counters["collectors.turned_away"] == 2
         assert collectors.counters["collectors.unreadable"] == 40 * 6 + QUICK.unreadable_lines + 1 + 1
 
 
 async def test_hundreds_of_unidentified_clients_do_not_keep_collectors_out() -> None:
     limits = replace(QUICK, connections=6, accept_batch=2, join_us=20 * SECOND)
-    async with listening(limits) as (collectors, heard, connect):
+    async with listening(limits) as (collectors, events, connect):
         _, good = await connect(JOIN + LOAD_LINE)
-        await until(lambda: heard)
+        await until(lambda: events)
         unidentified = [await connect(b"") for _ in range(200)]
         _, late = await connect(JOIN + LOAD_LINE)
-        await until(lambda: len(heard) == 2 and collectors.counters["collectors.opened"] == 202)
+        await until(lambda: len(events) == 2 and collectors.counters["collectors.opened"] == 202)
         good.write(LOAD_LINE)
-        await until(lambda: len(heard) == 3)
+        await until(lambda: len(events) == 3)
         assert len(collectors.connections) <= 6
         for _, writer in [*unidentified, (None, good), (None, late)]:
             writer.close()
@@ -189,9 +189,9 @@
 
 
 async def test_a_connection_evicted_at_the_moment_it_joins_does_not_count() -> None:
-    async with listening(replace(QUICK, connections=2, join_us=20 * SECOND)) as (collectors, heard, connect):
+    async with listening(replace(QUICK, connections=2, join_us=20 * SECOND)) as (collectors, events, connect):
         _, good = await connect(JOIN + LOAD_LINE)
-        await until(lambda: heard)
+        await until(lambda: events)
         await connect(b"")
         await until(lambda: len(collectors.connections) == 2)
         client = next(connection for connection in collectors.connections if connection.zone is None)
@@ -199,7 +199,7 @@
         collectors.handle_line(memoryview(JOIN.strip()), client)  # its line had been read already
         assert client not in collectors.connections and len(collectors.connections) == 1
         good.write(LOAD_LINE)
-        await until(lambda: len(heard) == 2)
+        await until(lambda: len(events) == 2)
 
 
 async def test_a_connection_accepted_at_the_moment_of_the_close_is_closed() -> None:
@@ -219,7 +219,7 @@
 
 async def test_floods_delay_no_ping_and_no_report() -> None:
     limits = replace(QUICK, connections=32, accept_batch=8, join_us=SECOND)
-    async with listening(limits) as (_, heard, connect):
+    async with listening(limits) as (_, events, connect):
         _, good = await connect()
         flooding = True
 
@@ -245,8 +245,8 @@
             waits.append(time.monotonic() - began)
             writer.transport.abort()
             good.write(LOAD_LINE.replace(b"s-1", b"s-9"))
-            seen = len(heard)
-            await until(lambda seen=seen: any(event.backend == "s-9" for event in heard[seen:]))
+            seen = len(events)
+            await until(lambda seen=seen: any(event.backend == "s-9" for event in events[seen:]))
         flooding = False
         await asyncio.gather(*floods, return_exceptions=True)
         assert sorted(waits)[len(waits) // 2] < 0.5
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -1,4 +1,4 @@
-"""What parties write, cut at every position, in any pieces: whole messages count, and half of one is none."""
+"""Input cut off at every position or split into any chunks: only complete messages take effect."""
 
 from __future__ import annotations
 
@@ -67,19 +67,19 @@
     return [whole[begin:end] for begin, end in pairwise(bounds) if begin < end]
 
 
-def event(kind: str, data: str) -> bytes:
+def event_bytes(kind: str, data: str) -> bytes:
     return f"event: {kind}\r\ndata: {data}\r\n\r\n".encode()
 
 
-NEWS = (
-    b"".join(event(*stands) for stands in SNAPSHOT_LINES)
+EVENT_STREAM = (
+    b"".join(event_bytes(*item) for item in SNAPSHOT_LINES)
     + b":\r\n"
-    + event("ACK", "node=1&nonce=9&latency=2.5")
-    + event("CLOSED", "node=1")
+    + event_bytes("ACK", "node=1&nonce=9&latency=2.5")
+    + event_bytes("CLOSED", "node=1")
     + b":\r\n"
-    + event("GRANT", "shard=4&set=0")
+    + event_bytes("GRANT", "shard=4&set=0")
 )
-HEARD = [
+EXPECTED_EVENTS = [
     *SNAPSHOT_EVENTS,
     interface.BarrierAck(1, 9, 2500),
     interface.ProxyLeft(1),
@@ -87,40 +87,42 @@
 ]
 
 
-async def news_heard(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
-    heard: list[interface.Event] = []
+async def events_of_stream(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
+    events: list[interface.Event] = []
     calls = Calls("", CODEC, QUICK, Counters())
-    news = News("", calls, heard.append, CODEC, QUICK, Counters())
+    news = News("", calls, events.append, CODEC, QUICK, Counters())
     news.place.standby = ScriptedConnection(pieces, ends)
     await news.stream()
     assert not calls.quiet.locked() and news.picture is None and news.counters["news.lost"] == 1
-    return heard, news
+    return events, news
 
 
 async def test_news_cut_off_at_every_position_leave_whole_events_and_free_calls() -> None:
     seen = set()
-    for place in range(len(NEWS) + 1):
-        pieces = [NEWS[:place]] if place else []
-        heard, _ = await news_heard(pieces, ConnectionResetError() if place % 2 else b"")
-        assert heard == HEARD[: len(heard)] and len(heard) in (
+    for position in range(len(EVENT_STREAM) + 1):
+        pieces = [EVENT_STREAM[:position]] if position else []
+        events, _ = await events_of_stream(pieces, ConnectionResetError() if position % 2 else b"")
+        assert events == EXPECTED_EVENTS[: len(events)] and len(events) in (
             0,
-            *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1),
+            *range(len(SNAPSHOT_EVENTS), len(EXPECTED_EVENTS) + 1),
         )
-        seen.add(len(heard))
-    assert seen == {0, *range(len(SNAPSHOT_EVENTS), len(HEARD) + 1)}, "an incomplete snapshot causes no event"
+        seen.add(len(events))
+    assert seen == {0, *range(len(SNAPSHOT_EVENTS), len(EXPECTED_EVENTS) + 1)}, (
+        "an incomplete snapshot causes no event"
+    )
 
 
 @drawn
 @given(some.lists(some.integers(0, 10_000), max_size=40))
 def test_news_mean_the_same_in_any_pieces(positions: list[int]) -> None:
     async def test() -> None:
-        heard, _ = await news_heard(cut(NEWS, positions), b"")
-        assert heard == HEARD
+        events, _ = await events_of_stream(cut(EVENT_STREAM, positions), b"")
+        assert events == EXPECTED_EVENTS
 
     play(test())
 
 
-LINES = (
+WATCH_LINES = (
     b"\n"
     + change(6, {**MEMBER, "id": "s-2"})
     + b"\n"
@@ -128,28 +130,30 @@
 )
 
 
-async def list_heard(pieces: list[bytes]) -> tuple[list[interface.Event], Registry]:
-    heard: list[interface.Event] = []
-    registry = Registry("", KNOWN, heard.append, CODEC, QUICK, Counters())
-    said = registry.place.standby = ScriptedConnection(pieces)
+async def events_of_watch(pieces: list[bytes]) -> tuple[list[interface.Event], Registry]:
+    events: list[interface.Event] = []
+    registry = Registry("", KNOWN, events.append, CODEC, QUICK, Counters())
+    connection = registry.place.standby = ScriptedConnection(pieces)
     await registry.watch()
-    assert said.closed and not registry.open.is_set() and LOST not in heard
-    return heard[1:], registry
+    assert connection.closed and not registry.open.is_set() and LOST not in events
+    return events[1:], registry
 
 
 async def test_a_watch_cut_off_at_every_position_goes_on_from_the_last_whole_line() -> None:
-    for place in range(len(LINES) + 1):
-        heard, registry = await list_heard([LINES[:place]] if place else [])
-        whole = [json.loads(line) for line in LINES[:place].split(b"\n")[:-1] if line.strip()]
-        assert len(heard) == len(whole) and registry.version == (whole[-1]["revision"] if whole else 5)
+    for position in range(len(WATCH_LINES) + 1):
+        events, registry = await events_of_watch([WATCH_LINES[:position]] if position else [])
+        complete = [json.loads(line) for line in WATCH_LINES[:position].split(b"\n")[:-1] if line.strip()]
+        assert len(events) == len(complete) and registry.version == (
+            complete[-1]["revision"] if complete else 5
+        )
 
 
 @drawn
 @given(some.lists(some.integers(0, 10_000), max_size=40))
 def test_a_watch_means_the_same_in_any_pieces(positions: list[int]) -> None:
     async def test() -> None:
-        heard, registry = await list_heard(cut(LINES, positions))
-        assert [len(told.entries) for told in heard] == [1, 2] and registry.version == 7
+        events, registry = await events_of_watch(cut(WATCH_LINES, positions))
+        assert [len(update.entries) for update in events] == [1, 2] and registry.version == 7
 
     play(test())
 
@@ -158,7 +162,7 @@
     """Collects what is written to a connection."""
 
     def __init__(self) -> None:
-        self.said, self.aborted = b"", False
+        self.written, self.aborted = b"", False
 
     def get_write_buffer_size(self) -> int:
         return 0
@@ -178,7 +182,7 @@
         return None
 
     def write(self, data: bytes) -> None:
-        self.transport.said += data
+        self.transport.written += data
 
     async def drain(self) -> None:
         pass
@@ -196,22 +200,22 @@
     positions: list[int], until: int, closing: bool
 ) -> None:
     async def test() -> None:
-        heard: list[interface.Event] = []
-        collectors = Collectors(heard.append, CODEC, QUICK, Counters())
+        events: list[interface.Event] = []
+        collectors = Collectors(events.append, CODEC, QUICK, Counters())
         reader, writer = Reader(), Writer()
         life = asyncio.create_task(collectors.serve(reader, writer))  # type: ignore[arg-type]
-        said = REPORTS[:until]
-        for chunk in cut(said, positions) if said else []:
+        received = REPORTS[:until]
+        for chunk in cut(received, positions) if received else []:
             reader.feed_data(chunk)
             await asyncio.sleep(0)
         if closing:
             collectors.close()
         reader.feed_eof()
         await life
-        lines = said.split(b"\n")[:-1]
-        assert heard == [LOAD_REPORT] * lines.count(
+        lines = received.split(b"\n")[:-1]
+        assert events == [LOAD_REPORT] * lines.count(
             LOAD_LINE[:-1]
-        ) and writer.transport.said == b"PONG\r\n" * lines.count(b"PING\r")
+        ) and writer.transport.written == b"PONG\r\n" * lines.count(b"PING\r")
         assert writer.transport.aborted and not collectors.connections and not collectors.tasks
 
     play(test())
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -32,11 +32,11 @@
 
 @pytest.mark.parametrize("ends", ["cancelled", "timed out"])
 async def test_a_dial_that_ends_after_any_number_of_steps_leaves_no_connection(ends: str) -> None:
-    async with LoopbackServer(silent) as party:
+    async with LoopbackServer(silent) as server:
         for steps in range(12):
             limits = replace(QUICK, late_us=0)
             dial = asyncio.create_task(
-                HttpConnection.open(party.address, limits, 1 if ends == "timed out" else SECOND)
+                HttpConnection.open(server.address, limits, 1 if ends == "timed out" else SECOND)
             )
             for _ in range(steps):
                 await asyncio.sleep(0)
@@ -45,14 +45,14 @@
             (found,) = await asyncio.gather(dial, return_exceptions=True)
             if isinstance(found, HttpConnection):
                 found.close()
-        await until(lambda: all(task.done() for task in party.tasks))  # our side has closed each of them
+        await until(lambda: all(task.done() for task in server.tasks))  # our side has closed each of them
 
 
 async def test_dials_that_take_just_over_their_limit_come_up_and_quick_ones_set_it_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held = HeldDials(monkeypatch)
-    async with LoopbackServer(silent) as party:
+    async with LoopbackServer(silent) as server:
         dialer = Dialer(replace(QUICK, connect_us=40 * MS, connect_max_us=160 * MS, late_us=0))
         dial = HttpConnection._dial
 
@@ -62,16 +62,16 @@
 
         HttpConnection._dial = slow_dial  # restored by `monkeypatch`
         with pytest.raises(TimeoutError):
-            await dialer.open(party.address)
-        (await dialer.open(party.address)).close()
+            await dialer.open(server.address)
+        (await dialer.open(server.address)).close()
         assert dialer.wait_us == 80 * MS
         HttpConnection._dial = dial
-        (await dialer.open(party.address)).close()
+        (await dialer.open(server.address)).close()
         assert dialer.wait_us == 40 * MS
-        held.gates[party.address] = asyncio.Event()
+        held.gates[server.address] = asyncio.Event()
         for wait_ms in (80, 160, 40, 80):
             with pytest.raises(TimeoutError):
-                await dialer.open(party.address)
+                await dialer.open(server.address)
             assert dialer.wait_us == wait_ms * MS
 
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -20,14 +20,14 @@
 def test_a_line_that_is_written_in_parts_is_whole(monkeypatch: pytest.MonkeyPatch) -> None:
     # After a short write, the next line used to begin in the middle of the previous one.
     reader, writer = os.pipe()
-    whole, left = os.write, [3, 0, 5]
+    write_all, left = os.write, [3, 0, 5]
 
     def write(descriptor: int, line: bytes) -> int:
         if not left:
-            return whole(descriptor, line)
+            return write_all(descriptor, line)
         if (size := left.pop(0)) == 0:
             raise BlockingIOError
-        return whole(descriptor, line[:size])
+        return write_all(descriptor, line[:size])
 
     handler = NonBlockingHandler(writer)
     monkeypatch.setattr(os, "write", write)
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -45,11 +45,11 @@
 
 
 async def probe(address: str) -> list[interface.ProbeResult]:
-    heard: list[interface.ProbeResult] = []
-    probes = Probes(heard.append, CODEC, QUICK, Counters())
+    events: list[interface.ProbeResult] = []
+    probes = Probes(events.append, CODEC, QUICK, Counters())
     probes.start("s-1", address)
     await until(lambda: not probes.under_way)
-    return heard
+    return events
 
 
 async def test_a_dial_that_fails_for_a_moment_is_no_refusal_of_the_server(
--- a/tests/test_prompt_answers.py
+++ b/tests/test_prompt_answers.py
@@ -50,7 +50,11 @@
     async with controller(folder) as running:
         cuts = range(1, len(PING))
         got = await asyncio.gather(*(speak_in_halves(running, cut, 2 * MESSAGE_S) for cut in cuts))
-    return {("cut at byte", cut): said for cut, said in zip(cuts, got, strict=True) if said}
+    return {
+        ("cut at byte", cut): wrong_answer
+        for cut, wrong_answer in zip(cuts, got, strict=True)
+        if wrong_answer
+    }
 
 
 async def shortest_pair_s(
--- a/tests/test_unasked_answers.py
+++ b/tests/test_unasked_answers.py
@@ -13,8 +13,8 @@
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 NACK = b"NACK why=unreadable\r\n"
-OWED_S = 3.0  # a client that has neither joined nor sent a request is rejected or closed by then
-KEPT_S = 16.0  # longer than any idle time-out that clients ever had
+REJECTED_WITHIN_S = 3.0  # a client that has neither joined nor sent a request is rejected or closed by then
+IDLE_S = 16.0  # longer than any idle time-out that clients ever had
 KILL_S = 0.7  # from SIGTERM to SIGKILL at the earliest
 GATE_FILE = """
 connection_class {{ name: "board" path_prefix: "/board" }}
@@ -23,16 +23,16 @@
 """
 
 
-async def heard(reader: asyncio.StreamReader, for_s: float) -> bytes:
+async def receive_for(reader: asyncio.StreamReader, for_s: float) -> bytes:
     """All bytes that arrive within `for_s` seconds."""
-    said = b""
+    received = b""
     try:
         async with asyncio.timeout(for_s):
-            while piece := await reader.read(1000):
-                said += piece
+            while chunk := await reader.read(1000):
+                received += chunk
     except TimeoutError:
         pass
-    return said
+    return received
 
 
 @pytest.mark.time_limit(40)
@@ -42,10 +42,10 @@
         clients = [await running.connect() for _ in range(5)]
         for _, writer in clients:
             writer.write(PING)
-        first = await asyncio.gather(*(heard(reader, KEPT_S) for reader, _ in clients))
+        first = await asyncio.gather(*(receive_for(reader, IDLE_S) for reader, _ in clients))
         for _, writer in clients:
             writer.write(PING)
-        second = await asyncio.gather(*(heard(reader, 0.5) for reader, _ in clients))
+        second = await asyncio.gather(*(receive_for(reader, 0.5) for reader, _ in clients))
         for _, writer in clients:
             writer.close()
         assert (set(first), set(second)) == ({PONG}, {PONG})
@@ -55,10 +55,12 @@
     # A client that had sent nothing was rejected as unreadable.
     expected = {b"": b"", b"PI": NACK, b"odd\r\n": NACK, PING + b"PI": PONG + NACK}
     async with controller(tmp_path) as running:
-        clients = {said: await running.connect() for said in expected}
-        for said, (_, writer) in clients.items():
-            writer.write(said)
-        got = await asyncio.gather(*(heard(reader, OWED_S) for reader, _ in clients.values()))
+        clients = {sent: await running.connect() for sent in expected}
+        for sent, (_, writer) in clients.items():
+            writer.write(sent)
+        got = await asyncio.gather(
+            *(receive_for(reader, REJECTED_WITHIN_S) for reader, _ in clients.values())
+        )
         ended = [reader.at_eof() for reader, _ in clients.values()]
         for _, writer in clients.values():
             writer.close()
@@ -86,7 +88,7 @@
 
     async with controller(tmp_path) as running:
         got = await asyncio.gather(*(client(running, seed) for seed in range(300)))
-        assert set(got) == {PONG}, [said for said in got if said != PONG][:5]
+        assert set(got) == {PONG}, [received for received in got if received != PONG][:5]
 
 
 @pytest.mark.time_limit(40)
@@ -105,7 +107,7 @@
         for _, writer in halves:
             writer.write(b"PIN")
         waits = await asyncio.gather(*(asks(running) for _ in range(20)))
-        ended = await asyncio.gather(*(heard(reader, OWED_S) for reader, _ in halves))
+        ended = await asyncio.gather(*(receive_for(reader, REJECTED_WITHIN_S) for reader, _ in halves))
         for _, writer in halves:
             writer.close()
         assert max(waits) < 1.5, waits
@@ -168,7 +170,7 @@
         got = []
         for reader, writer in clients:
             try:
-                got.append(await heard(reader, 2))
+                got.append(await receive_for(reader, 2))
             except OSError as error:
                 got.append(repr(error).encode())
             writer.close()
@@ -183,7 +185,7 @@
         for number in range(50):
             reader, writer = await running.connect()
             writer.write(b"SOURCE locality=made-up-%d\r\nodd-%d\r\n" % (number, number))
-            await heard(reader, 2)
+            await receive_for(reader, 2)
             writer.close()
             if number in (0, 49):
                 counters = await running.counters()
@@ -199,7 +201,7 @@
     async with process(("gate", "-o", str(file)), faults, address, "event=listening", {}) as gate:
         silent, begun = await gate.connect(), await gate.connect()
         begun[1].write(b"GET /board HTTP/1.1\r\n")
-        got = [await heard(reader, OWED_S) for reader, _ in (silent, begun)]
+        got = [await receive_for(reader, REJECTED_WITHIN_S) for reader, _ in (silent, begun)]
         for _, writer in (silent, begun):
             writer.close()
         assert got[0] == b"" and silent[0].at_eof()
