--- a/lapispass/core/tables.py
+++ b/lapispass/core/tables.py
@@ -1,4 +1,7 @@
-"""A gate's tables: which node owns a slice, and who may write where. They change by orders alone."""
+"""A gate's tables: which node owns each slice, and which connections may write.
+
+Tables change only by the changes that are applied to them.
+"""
 
 from __future__ import annotations
 
@@ -8,56 +11,56 @@
 
 import xxhash
 
-from lapispass.core.facts import NodeId
+from lapispass.core.shared_types import NodeId
 
 
 class Address(NamedTuple):
-    """Where a node is reached, and its zone."""
+    """The network address of a node, and its zone."""
 
     address: str
     zone: str
 
 
-class SetLine(NamedTuple):
-    """A slice's owner, or none: the empty step."""
+class SetOwner(NamedTuple):
+    """Sets the owner of a slice; `None` clears it, as a handover does before it names the new owner."""
 
     slice: int
     owner: NodeId | None
 
 
 class SetShare(NamedTuple):
-    """The share of new connections that a slice lets in; with writes shut nothing may be written."""
+    """Sets the share of new connections that a slice admits. While `shut`, it accepts no writes."""
 
     slice: int
     share: float
     shut: bool
 
 
-class SetOut(NamedTuple):
-    """A node is shut out of all tables, or let in again."""
+class SetWithdrawn(NamedTuple):
+    """Withdraws a node from all tables, or takes the withdrawal back."""
 
     node: NodeId
-    out: bool
+    withdrawn: bool
 
 
 class SetNode(NamedTuple):
-    """A node's address is known, or the node is forgotten."""
+    """Sets the address of a node; `None` removes the node."""
 
     node: NodeId
     address: Address | None
 
 
-class Asked(NamedTuple):
-    """A mark: answered when nothing held can still write by an older table."""
+class BarrierRequest(NamedTuple):
+    """A barrier: it is acknowledged once no held connection can still write under an older table."""
 
-    mark: int
+    barrier: int
 
 
-Change = SetLine | SetShare | SetOut | SetNode | Asked
+TableChange = SetOwner | SetShare | SetWithdrawn | SetNode | BarrierRequest
 
 
 def slice_of(key: str, slices: int) -> int:
-    """The slice of a key: the same at every gate and in every version."""
+    """The slice of a key. The result is the same at every gate and in every version of the program."""
     return xxhash.xxh64_intdigest(key.encode("utf-8", "surrogateescape"), seed=0) % slices
 
 
@@ -67,48 +70,48 @@
     shut: bool = False
 
 
-OPEN = Share()
+DEFAULT_SHARE = Share()
 
 
 class Tables:
-    """What stands, as last told. A change says how something shall stand: twice is as good as once."""
+    """The current tables. Changes are idempotent: each one states a value, not a difference."""
 
     def __init__(self, slices: int) -> None:
         self.slices = slices
         self.owners: dict[int, NodeId] = {}
         self.shares: dict[int, Share] = {}
-        self.out: set[NodeId] = set()
+        self.withdrawn: set[NodeId] = set()
         self.nodes: dict[NodeId, Address] = {}
 
-    def apply(self, change: Change) -> set[int]:
-        """Carries out a change; the slices whose writers it may concern."""
+    def apply(self, change: TableChange) -> set[int]:
+        """Applies a change. Returns the slices whose writing connections may be affected."""
         match change:
-            case SetLine(number, owner):
+            case SetOwner(number, owner):
                 if self.owners.get(number) == owner or not 0 <= number < self.slices:
                     return set()
                 if owner is None:
                     self.owners.pop(number, None)
-                    self.shares.pop(number, None)  # an empty table has no levels either
+                    self.shares.pop(number, None)  # a slice without an owner has no admission share either
                 else:
                     self.owners[number] = owner
                 return {number}
             case SetShare(number, share, shut):
                 if not 0 <= number < self.slices:
                     return set()
-                old = self.shares.get(number, OPEN)
+                old = self.shares.get(number, DEFAULT_SHARE)
                 if share >= 1 and not shut:
                     self.shares.pop(number, None)
                 else:
                     self.shares[number] = Share(share, shut)
                 return {number} if old.shut != shut else set()
-            case SetOut(node, out):
-                if out == (node in self.out):
+            case SetWithdrawn(node, out):
+                if out == (node in self.withdrawn):
                     return set()
-                (self.out.add if out else self.out.discard)(node)
+                (self.withdrawn.add if out else self.withdrawn.discard)(node)
                 return {number for number, owner in self.owners.items() if owner == node}
             case SetNode(node, None):
                 self.nodes.pop(node, None)
-                self.out.discard(node)
+                self.withdrawn.discard(node)
             case SetNode(node, Address() as address):
                 self.nodes[node] = address
             case _:
@@ -116,43 +119,44 @@
         return set()
 
     def owner(self, number: int) -> NodeId | None:
-        """Who serves a slice now; nobody while it is bare or its owner is shut out."""
+        """The node that serves a slice now; `None` if the slice has no owner or its owner is withdrawn."""
         owner = self.owners.get(number)
-        return None if owner in self.out else owner
+        return None if owner in self.withdrawn else owner
 
     def may_write(self, number: int, node: NodeId) -> bool:
-        return self.owner(number) == node and not self.shares.get(number, OPEN).shut
+        return self.owner(number) == node and not self.shares.get(number, DEFAULT_SHARE).shut
 
     def share(self, number: int) -> float:
-        return self.shares.get(number, OPEN).share
+        return self.shares.get(number, DEFAULT_SHARE).share
 
     def serving(self) -> dict[NodeId, int]:
-        """How many slices each node that is reached and not shut out owns."""
+        """The number of slices of each owner that has an address and is not withdrawn."""
         counts: dict[NodeId, int] = {}
         for owner in self.owners.values():
-            if owner not in self.out and owner in self.nodes:
+            if owner not in self.withdrawn and owner in self.nodes:
                 counts[owner] = counts.get(owner, 0) + 1
         return counts
 
-    def differences(self, stands: Tables) -> Iterable[Change]:
-        """What has to change so that `stands` becomes this; in an order that is safe at every step.
+    def differences(self, current: Tables) -> Iterable[TableChange]:
+        """The changes that turn `current` into these tables, in an order that is safe at every step.
 
-        Nodes are known before lines name them; a slice that changes owner is emptied only by its own empty
-        step, which whoever orders the change has seen to, so here its line is set at once.
+        A node's address is set before a slice names the node as its owner. A slice whose owner changes gets
+        the new owner at once, without being cleared in between: whoever ordered the handover has already
+        cleared the slice in a step of its own.
         """
         for node, address in self.nodes.items():
-            if stands.nodes.get(node) != address:
+            if current.nodes.get(node) != address:
                 yield SetNode(node, address)
-        for node in sorted(self.out - stands.out):
-            yield SetOut(node, True)
-        for number in sorted(self.owners.keys() | stands.owners.keys()):
-            if self.owners.get(number) != stands.owners.get(number):
-                yield SetLine(number, self.owners.get(number))
-        for number in sorted(self.shares.keys() | stands.shares.keys()):
-            mine = self.shares.get(number, OPEN)
-            if mine != stands.shares.get(number, OPEN):
-                yield SetShare(number, mine.share, mine.shut)
-        for node in sorted(stands.out - self.out):
-            yield SetOut(node, False)
-        for node in sorted(stands.nodes.keys() - self.nodes.keys()):
+        for node in sorted(self.withdrawn - current.withdrawn):
+            yield SetWithdrawn(node, True)
+        for number in sorted(self.owners.keys() | current.owners.keys()):
+            if self.owners.get(number) != current.owners.get(number):
+                yield SetOwner(number, self.owners.get(number))
+        for number in sorted(self.shares.keys() | current.shares.keys()):
+            wanted = self.shares.get(number, DEFAULT_SHARE)
+            if wanted != current.shares.get(number, DEFAULT_SHARE):
+                yield SetShare(number, wanted.share, wanted.shut)
+        for node in sorted(current.withdrawn - self.withdrawn):
+            yield SetWithdrawn(node, False)
+        for node in sorted(current.nodes.keys() - self.nodes.keys()):
             yield SetNode(node, None)
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -1,11 +1,13 @@
-"""Days of clients that hold connections through a real gate process until it is killed.
+"""Soak test: clients hold connections through a real gate process until it is killed.
 
-As in `soak.py`, each day draws faults of system calls, steps of the wall clock, pauses, signals in series and
-a crowd from its seed, and a server that drains now and then. The judge counts what the gate has read from
-each client: an upgrade that was read whole gets a status; whoever waits for an answer to a message gets it,
-or the end of the connection; no write is carried out twice.
+As in `soak.py`, each run ("day") draws from its seed: faults of system calls, steps of the wall clock,
+pauses, series of signals and a crowd of clients; here also a server that drains now and then. The checks use
+the number of bytes that the gate has read from each client. An upgrade request that was read whole gets a
+status. A client that waits for the answer to a message gets it, or the end of the connection. No write is
+carried out twice.
 
-By hand: `PYTHONPATH=. python tests/soak_gate.py --seeds 20 --seed 1000 --at-once 2`; 1 where one is broken.
+By hand: `PYTHONPATH=. python tests/soak_gate.py --seeds 20 --seed 1000 --at-once 2`. The exit code is 1 if
+any check fails.
 """
 
 from __future__ import annotations
@@ -28,8 +30,8 @@
 
 from lapispass.standins.nodes import CounterNode
 
-ANSWER_S = 3.0  # for a status, the answer to a message or an end, of time in which the process runs
-HEAD_S = 1.0  # the gate's limit for the head of an upgrade
+ANSWER_S = 3.0  # for a status, the answer to a message or the end; pauses of the process do not count
+HEAD_S = 1.0  # the gate's time limit for the head of an upgrade request
 SLOW_UPGRADE_S = 0.4
 PATHS = ("/board", "/till", "/desk")
 LAST = 0x80  # the bit of a message's last frame, in the first byte of frames (RFC 6455 5.2)
@@ -47,22 +49,22 @@
 
 
 class SlowNode(CounterNode):
-    """A server that takes its time for each third upgrade: some are under way whenever the gate ends."""
+    """A server that is slow with every third upgrade, so that some are under way whenever the gate stops."""
 
-    asked = 0
+    upgrades_seen = 0
 
     async def upgrade(  # type: ignore[override]
         self, connection: ServerConnection, request: Request
     ) -> Response | None:
-        self.asked += 1
-        if self.asked % 3 == 0:
+        self.upgrades_seen += 1
+        if self.upgrades_seen % 3 == 0:
             await asyncio.sleep(SLOW_UPGRADE_S)
         return super().upgrade(connection, request)
 
 
 @dataclass
 class GateDay(Day):
-    """One gate's life, and the servers behind it."""
+    """One run of a gate process, and the servers behind it."""
 
     file: Path = Path()
     nodes: list[CounterNode] = field(default_factory=list)
@@ -74,12 +76,12 @@
 
 
 class Client:
-    """One connection of a sound client."""
+    """One connection of a client that behaves correctly."""
 
     def __init__(self, day: GateDay, name: str) -> None:
         self.day, self.name, self.status, self.sent = day, name, b"", 0
         path = day.chance.choice(PATHS)
-        self.ask = (
+        self.request = (
             f"GET {path}?key=k{day.chance.randrange(40)} HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\n"
             "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"
             "Sec-WebSocket-Key: MDEyMzQ1Njc4OWFiY2RlZg==\r\n\r\n"
@@ -91,7 +93,7 @@
         self.read_before = self.day.running.faults.bytes_read_from(self.port)
 
     async def in_time(self, work: Coroutine[Any, Any, bytes], what: str) -> bytes:
-        """What the gate owes, within `ANSWER_S`; pauses of its process do not count."""
+        """Waits `ANSWER_S` for an answer that the gate must give. Pauses of its process do not count."""
         day, loop, task = self.day, asyncio.get_running_loop(), asyncio.create_task(work)
         begun = loop.time()
         try:
@@ -105,25 +107,25 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def upgrade(self) -> bool:
-        """Asks for the upgrade in two pieces; whether it was granted."""
+        """Sends the upgrade request in two pieces. Whether the upgrade was accepted."""
         self.day.verdict.asked += 1
-        cut = self.day.chance.randrange(1, len(self.ask))
-        self.writer.write(self.ask[:cut])
+        cut = self.day.chance.randrange(1, len(self.request))
+        self.writer.write(self.request[:cut])
         await asyncio.sleep(self.day.chance.choice((0, 0, 0.05)))
         begun = asyncio.get_running_loop().time()
-        self.writer.write(self.ask[cut:])
+        self.writer.write(self.request[cut:])
         self.status = await self.in_time(self.reader.readuntil(b"\r\n\r\n"), "upgrade")
         self.day.verdict.answered += 1
         self.note_time(begun)
         return self.status.startswith(b"HTTP/1.1 101 ")
 
     def note_time(self, begun: float) -> None:
-        """The slowest answer of the day."""
+        """Records the slowest answer of the run."""
         took_s = asyncio.get_running_loop().time() - begun - self.day.paused_s(begun)
         self.day.verdict.slowest_s = max(self.day.verdict.slowest_s, took_s)
 
     async def write(self) -> bool:
-        """A numbered write, and its answer; False where the gate has closed."""
+        """Sends a numbered write and checks its answer. False if the gate has closed the connection."""
         number = f"{self.name}-{self.sent}"
         self.sent += 1
         self.day.verdict.asked += 1
@@ -141,7 +143,7 @@
         self.writer.write(bytes((LAST | kind, 0x80 | len(payload), 0, 0, 0, 0)) + payload)
 
     async def answer(self) -> bytes:
-        """The next message; pings are answered, and a close frame is."""
+        """The next message; empty at a close frame. Pings and a close frame are answered."""
         message = b""
         while True:
             first, length = await self.reader.readexactly(2)
@@ -161,14 +163,14 @@
             else:
                 self.day.breach(f"a frame {first:#x} {payload!r}")
 
-    def judge(self) -> None:
-        """An upgrade that was read whole has its status; called when the connection has ended."""
+    def check_upgrade_answered(self) -> None:
+        """Checks, when the connection has ended, that an upgrade request that was read whole got a status."""
         read = self.day.running.faults.bytes_read_from(self.port) - self.read_before
-        if read >= len(self.ask) and not self.status:
-            self.day.breach(f"lost: an upgrade of {len(self.ask)} bytes, {read} read, no status")
+        if read >= len(self.request) and not self.status:
+            self.day.breach(f"lost: an upgrade of {len(self.request)} bytes, {read} read, no status")
 
-    async def live(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
-        """From the connection to its end."""
+    async def run(self, pauses_s: tuple[float, ...], begins_after_s: float = 0.0) -> None:
+        """Runs one connection to its end."""
         try:
             await self.connect()
         except OSError:
@@ -179,36 +181,36 @@
             if await self.upgrade():
                 while await self.write():
                     await asyncio.sleep(self.day.chance.choice(pauses_s))
-            self.judge()
+            self.check_upgrade_answered()
         except (EOFError, OSError):
-            self.judge()
+            self.check_upgrade_answered()
         finally:
             self.writer.close()
 
 
-async def converse(day: GateDay, name: str) -> None:
-    """One connection after the other, each kept until the gate ends it."""
-    lives = 0
+async def keep_connected(day: GateDay, name: str) -> None:
+    """Opens one connection after the other and keeps each until the gate ends it."""
+    opened = 0
     while not day.told_to_end:
-        lives += 1
-        await Client(day, f"{name}.{lives}").live((0, 0, 0.01, 0.1, 0.5))
+        opened += 1
+        await Client(day, f"{name}.{opened}").run((0, 0, 0.01, 0.1, 0.5))
 
 
-async def begin_late(day: GateDay, name: str) -> None:
-    """Connections that ask for their upgrade after some silence, also while the gate ends."""
+async def upgrade_late(day: GateDay, name: str) -> None:
+    """Opens connections that send their upgrade request after some silence, also while the gate stops."""
     rounds = 0
     while not day.told_to_end:
         rounds += 1
         waits_s = [day.chance.uniform(0, HEAD_S * 0.8) for _ in range(10)]
-        lives = (
-            Client(day, f"{name}.{rounds}.{n}").live((0.05,), wait_s) for n, wait_s in enumerate(waits_s)
+        connections = (
+            Client(day, f"{name}.{rounds}.{n}").run((0.05,), wait_s) for n, wait_s in enumerate(waits_s)
         )
-        await asyncio.gather(*(ended_soon(day, life) for life in lives))
+        await asyncio.gather(*(leave_early(day, connection) for connection in connections))
 
 
-async def ended_soon(day: GateDay, life: Coroutine[Any, Any, None]) -> None:
-    """A client that goes after a while, except while the gate ends."""
-    task = asyncio.create_task(life)
+async def leave_early(day: GateDay, connection: Coroutine[Any, Any, None]) -> None:
+    """Runs a client that leaves after a while, except while the gate stops."""
+    task = asyncio.create_task(connection)
     await asyncio.wait((task,), timeout=1.5)
     if not day.told_to_end:
         task.cancel()
@@ -218,37 +220,37 @@
 
 
 async def crowd(day: GateDay, name: str) -> None:
-    """Hundreds at once."""
+    """Opens hundreds of connections at once."""
 
-    async def one(number: int) -> None:
+    async def connect_one(number: int) -> None:
         await asyncio.sleep(day.chance.uniform(0, 0.3))
-        await ended_soon(day, Client(day, f"{name}.{rounds}.{number}").live((0.2,)))
+        await leave_early(day, Client(day, f"{name}.{rounds}.{number}").run((0.2,)))
 
     rounds = 0
     while not day.told_to_end:
         rounds += 1
-        await asyncio.gather(*(one(number) for number in range(CROWD)))
+        await asyncio.gather(*(connect_one(number) for number in range(CROWD)))
 
 
-async def misbehave(day: GateDay) -> None:
-    """Clients that send what nobody can read, or nothing: each is owed a status or a close."""
+async def send_garbage(day: GateDay) -> None:
+    """Opens connections that send invalid bytes or nothing. Each must get a status or a close."""
 
-    async def one(said: bytes) -> None:
+    async def send_invalid(sent: bytes) -> None:
         client = Client(day, "bad")
         try:
             await client.connect()
-            client.writer.write(said)
-            await client.in_time(client.reader.read(), f"owed to {said[:20]!r}")
+            client.writer.write(sent)
+            await client.in_time(client.reader.read(), f"owed to {sent[:20]!r}")
         except (EOFError, OSError):
             pass
         client.writer.close()
 
     while not day.told_to_end:
-        await asyncio.gather(*(one(day.chance.choice(GARBAGE)) for _ in range(10)))
+        await asyncio.gather(*(send_invalid(day.chance.choice(GARBAGE)) for _ in range(10)))
 
 
 async def drain(day: GateDay) -> None:
-    """One of the servers drains and comes back."""
+    """Drains one of the servers and takes it back."""
     while not day.told_to_end:
         await asyncio.sleep(day.chance.uniform(0.3, 1.0))
         day.write_file(day.chance.choice(("READY", "DRAINING")))
@@ -257,27 +259,27 @@
 
 
 def gates_clients(day: GateDay, round_number: int) -> list[Coroutine[Any, Any, None]]:
-    clients = [converse(day, f"{round_number}.{number}") for number in range(CLIENTS)]
-    clients += [begin_late(day, f"{round_number}.late"), misbehave(day), drain(day)]
+    clients = [keep_connected(day, f"{round_number}.{number}") for number in range(CLIENTS)]
+    clients += [upgrade_late(day, f"{round_number}.late"), send_garbage(day), drain(day)]
     if day.is_crowded:
         clients += [crowd(day, f"{round_number}.crowd")]
     return clients
 
 
-def carried_twice(nodes: Sequence[CounterNode]) -> dict[str, int]:
-    """Numbers of writes that were carried out more than once, at all servers together."""
+def duplicate_writes(nodes: Sequence[CounterNode]) -> dict[str, int]:
+    """The numbers of writes that were carried out more than once, over all servers."""
     carried = Counter(write.number for node in nodes for write in node.writes)
     return {number: count for number, count in carried.items() if count > 1}
 
 
 async def play_day(seed: int, folder: Path) -> Verdict:
-    """A day, with two gates at one address, one after the other."""
+    """Runs two gates at one address, one after the other."""
     chance, verdict = random.Random(seed), Verdict(seed)
     faults, address = Faults(folder / "faults"), free_address()
     is_crowded = chance.random() < 0.4
     file = folder / "operator.textproto"
-    async with SlowNode("n0") as one, SlowNode("n1") as other:
-        nodes = [one, other]
+    async with SlowNode("n0") as first, SlowNode("n1") as second:
+        nodes = [first, second]
         file.write_text(
             FILE.format(
                 listen="{}:{}".format(*address), nodes=[node.address for node in nodes], state="READY"
@@ -293,13 +295,13 @@
                     await life(day, gates_clients(day, round_number))
             except NotStarted as error:
                 verdict.breaches.append(f"not started: {error}")
-        if twice := carried_twice(nodes):
+        if twice := duplicate_writes(nodes):
             verdict.breaches.append(f"carried out twice: {twice}")
     return verdict
 
 
 def play_seed(seed: int) -> Verdict:
-    """A day on a loop of its own."""
+    """Runs one seed on an event loop of its own."""
     with TemporaryDirectory(prefix="lapispass-soak-") as folder:
         return asyncio.run(play_day(seed, Path(folder)))
 
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -1,4 +1,4 @@
-"""A gate in the test's own loop, in front of stand-in nodes; short times."""
+"""Gates in the test's own event loop, in front of stand-in nodes and with short time limits."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 from lapispass.cli.fronts import attach, joined
 from lapispass.core.tables import slice_of
-from lapispass.gate.desk import Desk
+from lapispass.gate.gate_server import GateServer
 from lapispass.gate.limits import Limits
 from lapispass.gate.service import Gate
-from lapispass.gate.upgrade import accept_of
+from lapispass.gate.upgrade import accept_value
 from lapispass.interface import Deployment
 from lapispass.net import limits as net
 from lapispass.net.codec import Listing
@@ -30,7 +30,7 @@
 from lapispass.standins.platform import Member, Registry, Relay
 
 MS = 1000
-QUICK = replace(
+SHORT_LIMITS = replace(
     Limits(),
     handshake_us=300 * MS,
     connect_us=300 * MS,
@@ -43,10 +43,10 @@
     quiet_us=30 * MS,
     tick_us=20 * MS,
     report_us=50 * MS,
-    beat_us=30 * MS,
+    heartbeat_us=30 * MS,
     lease_us=600 * MS,
-    again_least_us=10 * MS,
-    again_most_us=50 * MS,
+    retry_min_us=10 * MS,
+    retry_max_us=50 * MS,
 )
 CLASSES = """
 connection_class { name: "board" path_prefix: "/board" movable: true }
@@ -60,21 +60,23 @@
 
 
 async def take_upgrade(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-    """Answers an upgrade as a node does; false, with nothing said, for any other request."""
+    """Accepts an upgrade as a node does. False, without an answer, for any other request."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     lines = (line.partition(": ") for line in head.split("\r\n"))
     key = next((value for name, _, value in lines if name.lower() == "sec-websocket-key"), None)
     if key is not None:
         writer.write(
             b"HTTP/1.1 101 x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Accept: "
-            + accept_of(key.encode())
+            + accept_value(key.encode())
             + b"\r\n\r\n"
         )
     return key is not None
 
 
-def alone(nodes: dict[str, tuple[str, str]], grace_ms: int = 600, more: str = "", bounds: str = "") -> str:
-    """An operator file for a gate that stands alone; each node by its address and state."""
+def standalone_file(
+    nodes: dict[str, tuple[str, str]], grace_ms: int = 600, more: str = "", bounds: str = ""
+) -> str:
+    """An operator file for a standalone gate, with the address and state of each node."""
     lines = [
         f'node {{ id: "{name}" address: "{address}" state: {state} }}'
         for name, (address, state) in nodes.items()
@@ -87,36 +89,36 @@
     )
 
 
-class World:
-    """A gate that stands alone, and its nodes."""
+class StandaloneGate:
+    """A standalone gate and its nodes."""
 
-    def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **how: Any) -> None:
-        self.gate, self.nodes, self.file, self.how = gate, nodes, file, how
+    def __init__(self, gate: Gate, nodes: dict[str, CounterNode], file: Path, **file_options: Any) -> None:
+        self.gate, self.nodes, self.file, self.file_options = gate, nodes, file, file_options
         self.states = dict.fromkeys(nodes, "READY")
 
     def write(self) -> None:
-        told = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
-        self.file.write_text(alone(told, **self.how))
+        listed = {name: (node.address, self.states[name]) for name, node in self.nodes.items()}
+        self.file.write_text(standalone_file(listed, **self.file_options))
 
     def set(self, **states: str) -> None:
-        """Says anew how nodes stand, and has the gate read it."""
+        """Changes the states of nodes in the file and has the gate read it."""
         self.states.update(states)
         self.write()
-        self.gate.read_again()
+        self.gate.reload()
 
     def url(self, target: str) -> str:
         return f"ws://{self.gate.address}{target}"
 
 
 @asynccontextmanager
-async def world(
+async def standalone_gate(
     tmp_path: Path,
     count: int = 2,
-    limits: Limits = QUICK,
+    limits: Limits = SHORT_LIMITS,
     nodes: dict[str, CounterNode] | None = None,
-    **how: Any,
-) -> AsyncIterator[World]:
-    """Nodes `n0`, `n1` ... (or those given) and a gate in front of them."""
+    **file_options: Any,
+) -> AsyncIterator[StandaloneGate]:
+    """Nodes `n0`, `n1` ... (or those given) and a standalone gate in front of them."""
     nodes = (
         nodes if nodes is not None else {f"n{number}": CounterNode(f"n{number}") for number in range(count)}
     )
@@ -124,13 +126,13 @@
         if not node.address:
             await node.start()
     file = tmp_path / "gate.textproto"
-    stand = World(None, nodes, file, **how)  # type: ignore[arg-type]
-    stand.write()
-    stand.gate = gate = Gate(operator.read(file), 7, limits)
+    env = StandaloneGate(None, nodes, file, **file_options)  # type: ignore[arg-type]
+    env.write()
+    env.gate = gate = Gate(operator.read(file), 7, limits)
     running = asyncio.create_task(gate.run())
     await until(lambda: gate.address or running.done())
     try:
-        yield stand
+        yield env
     finally:
         gate.stop()
         await asyncio.wait_for(running, 10)
@@ -138,7 +140,7 @@
             await node.stop()
 
 
-TOLD = deployment(
+DEPLOYMENT = deployment(
     proxies=1,
     lease_us=600 * MS,
     linger_us=300 * MS,
@@ -153,7 +155,8 @@
 
 
 class Fleet:  # one test, one loop
-    """A controller with its desk, the platform's stand-ins, nodes, and gates, all in the test's loop."""
+    """A controller with its server for gates, stand-ins for registry and relay, nodes and gates, all in the
+    test's event loop."""
 
     def __init__(
         self,
@@ -161,23 +164,23 @@
         nodes: dict[str, CounterNode],
         grace_ms: int,
         bounds: str,
-        told: Deployment,
+        deployment: Deployment,
         limits: Limits,
     ) -> None:
-        self.path, self.nodes, self.told, self.gate_limits = path, nodes, told, limits
+        self.path, self.nodes, self.deployment, self.gate_limits = path, nodes, deployment, limits
         self.common = (
             f"{CLASSES}\ndrain {{ grace_ms: {grace_ms} margin_ms: 300 come_back_least_ms: 50 "
             f"come_back_most_ms: 5000 }}\nnodes {{ {bounds} }}\n"
         )
-        self.registry, self.relay = Registry(), Relay(told.slices, told.proxies)
+        self.registry, self.relay = Registry(), Relay(deployment.slices, deployment.proxies)
         self.gates: dict[str, Gate] = {}
         self.names = ["g0", "g1", "g2"]
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.service: Service
-        self.desk: Desk
+        self.gate_server: GateServer
         self.port = 0
         self.secret = self.path / "key"
-        self.extra = ""  # further fronts of the controller's file
+        self.extra = ""  # further endpoints in the controller's file
 
     async def start(self) -> None:
         self.secret.write_bytes(b"a key of a test, long enough")
@@ -186,14 +189,14 @@
                 await node.start()
             self.registry.members[name] = Member(name, node.address, node.zone)
         names = sorted(self.nodes)
-        self.relay.owners = {number: names[number % len(names)] for number in range(self.told.slices)}
+        self.relay.owners = {number: names[number % len(names)] for number in range(self.deployment.slices)}
         self.relay.published += [Published(0, number, owner) for number, owner in self.relay.owners.items()]
         await self.registry.start()
         await self.relay.start()
         await self.controller()
 
     async def controller(self) -> None:
-        """Starts one, or one anew under its old address."""
+        """Starts the controller, or restarts it at its former address."""
         listed = " ".join(f'name: "{name}"' for name in self.names)
         file = self.path / "controller.textproto"
         file.write_text(
@@ -209,16 +212,16 @@
                 self.relay.address,
                 5,
                 Listing(0, False, (), {}, 0),
-                self.told,
+                self.deployment,
                 net.Limits(),
             )
         )
         self.service = Service(launch)
         attach(source)(self.service)
-        self.desk = next(front for front in self.service.beside if isinstance(front, Desk))
+        self.gate_server = next(front for front in self.service.beside if isinstance(front, GateServer))
         self.tasks["controller"] = asyncio.create_task(self.service.run())
-        await until(lambda: self.desk.address or self.tasks["controller"].done())
-        self.port = int(self.desk.address.rpartition(":")[2])
+        await until(lambda: self.gate_server.address or self.tasks["controller"].done())
+        self.port = int(self.gate_server.address.rpartition(":")[2])
 
     async def kill_controller(self) -> None:
         task = self.tasks.pop("controller")
@@ -229,16 +232,16 @@
         file = self.path / f"{name}.textproto"
         file.write_text(
             f'{self.common} gate {{ name: "{name}" listen: "127.0.0.1:0" controller: "127.0.0.1:{self.port}" '
-            f'slices: {self.told.slices} key_parameter: "key" secret_file: "key" }}'
+            f'slices: {self.deployment.slices} key_parameter: "key" secret_file: "key" }}'
         )
         gate = self.gates[name] = Gate(operator.read(file), len(self.gates) + 11, self.gate_limits)
         self.tasks[name] = asyncio.create_task(gate.run())
         steering = gate.steering
-        await until(lambda: len(steering.tables.owners) == self.told.slices and steering.plan.allotted)
+        await until(lambda: len(steering.tables.owners) == self.deployment.slices and steering.plan.allotted)
         return gate
 
     async def kill_gate(self, name: str) -> None:
-        """As a killed process: what it holds is reset, nothing is said."""
+        """Ends a gate as if its process were killed: its connections are reset without a close frame."""
         gate, task = self.gates.pop(name), self.tasks.pop(name)
         for tunnel in list(gate.tunnels.values()):
             tunnel.client.writer.transport.abort()
@@ -255,9 +258,9 @@
         self.registry.change(Member(name, node.address, node.zone, phase, **more))
 
     def breaches(self) -> list[Breach]:
-        """Rule 2 on what the nodes saw and the store was told."""
+        """Breaches of rule 2, by what the nodes received and what was published."""
         writes = [Carried(*write) for node in self.nodes.values() for write in node.writes]
-        return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.told.slices))
+        return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.deployment.slices))
 
     async def stop(self) -> None:
         for gate in self.gates.values():
@@ -280,19 +283,19 @@
     gates: int = 1,
     grace_ms: int = 1500,
     bounds: str = "",
-    told: Deployment = TOLD,
-    limits: Limits = QUICK,
+    deployment: Deployment = DEPLOYMENT,
+    limits: Limits = SHORT_LIMITS,
     extra: str = "",
 ) -> AsyncIterator[Fleet]:
-    """A controller, `nodes`, and gates `g0`, `g1` ..."""
+    """A controller, nodes, and gates `g0`, `g1` ..."""
     if isinstance(nodes, int):
         nodes = {f"n{number}": CounterNode(f"n{number}") for number in range(nodes)}
-    stand = Fleet(path, nodes, grace_ms, bounds, told, limits)
-    stand.extra = extra
-    await stand.start()
+    env = Fleet(path, nodes, grace_ms, bounds, deployment, limits)
+    env.extra = extra
+    await env.start()
     try:
         for number in range(gates):
-            await stand.gate(f"g{number}")
-        yield stand
+            await env.gate(f"g{number}")
+        yield env
     finally:
-        await stand.stop()
+        await env.stop()
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -1,4 +1,5 @@
-"""Short days of the gate's soak; `soak_gate.py` says how to start the long run by hand."""
+"""Short runs of the gate's soak test, and tests of its checks. `soak_gate.py` says how to start a long
+run."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
 from parties import LoopbackServer, play
 from soak import Verdict
-from soak_gate import Client, GateDay, carried_twice, play_day
+from soak_gate import Client, GateDay, duplicate_writes, play_day
 
 from lapispass.standins.nodes import CounterNode, Write
 
@@ -32,29 +33,29 @@
     play(test(), 60)
 
 
-def client(folder: Path, connect: Callable[[], Any] | None = None) -> Client:
+def make_client(folder: Path, connect: Callable[[], Any] | None = None) -> Client:
     running = SimpleNamespace(faults=Faults(folder / "faults"), lines=[], connect=connect)
     day = GateDay(running, random.Random(1), Verdict(1), is_crowded=False)  # type: ignore[arg-type]
     return Client(day, "c")
 
 
 def test_the_judge_sees_an_upgrade_that_was_read_whole_and_got_no_status(tmp_path: Path) -> None:
-    one = client(tmp_path)
-    one.port, one.read_before = 40_000, 0
-    place = RECORD.size * len(Call) + PORT_COUNT.size * one.port
+    client = make_client(tmp_path)
+    client.port, client.read_before = 40_000, 0
+    offset = RECORD.size * len(Call) + PORT_COUNT.size * client.port
     for read, status, breaches in (
-        (len(one.ask) - 1, b"", 0),
-        (len(one.ask), GRANTED, 0),
-        (len(one.ask), b"", 1),
+        (len(client.request) - 1, b"", 0),
+        (len(client.request), GRANTED, 0),
+        (len(client.request), b"", 1),
     ):
-        PORT_COUNT.pack_into(one.day.running.faults.records, place, read)
-        one.status = status
-        one.judge()
-        assert len(one.day.verdict.breaches) == breaches
+        PORT_COUNT.pack_into(client.day.running.faults.records, offset, read)
+        client.status = status
+        client.check_upgrade_answered()
+        assert len(client.day.verdict.breaches) == breaches
 
 
 @pytest.mark.parametrize(
-    ("said", "breach"),
+    ("sent", "breach"),
     [
         (GRANTED + bytes((0x81, len(OK))) + OK, ""),
         (GRANTED + bytes((0x01, 2)) + OK[:2] + bytes((0x80, len(OK) - 2)) + OK[2:], ""),
@@ -65,24 +66,24 @@
     ],
 )
 def test_the_judge_sees_what_a_client_gets(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, said: bytes, breach: str
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, sent: bytes, breach: str
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(said)
+        writer.write(sent)
         await reader.read()
 
     async def test() -> None:
         monkeypatch.setattr(soak_gate, "ANSWER_S", 0.3)
         async with LoopbackServer(serve) as party:
             address = party.address.split(":")
-            one = client(tmp_path, lambda: asyncio.open_connection(*address))
-            living = asyncio.create_task(one.live(pauses_s=(10.0,)))
-            await asyncio.wait((living,), timeout=1.0)
-            living.cancel()
-            await asyncio.gather(living, return_exceptions=True)
-        assert len(one.day.verdict.breaches) == bool(breach)
-        assert all(breach in text for text in one.day.verdict.breaches)
+            client = make_client(tmp_path, lambda: asyncio.open_connection(*address))
+            running_client = asyncio.create_task(client.run(pauses_s=(10.0,)))
+            await asyncio.wait((running_client,), timeout=1.0)
+            running_client.cancel()
+            await asyncio.gather(running_client, return_exceptions=True)
+        assert len(client.day.verdict.breaches) == bool(breach)
+        assert all(breach in text for text in client.day.verdict.breaches)
 
     play(test())
 
@@ -90,6 +91,6 @@
 def test_the_judge_sees_a_write_that_two_servers_have_carried_out() -> None:
     nodes = [CounterNode("n0"), CounterNode("n1")]
     nodes[0].writes += [Write(1, "n0", "k", "c-0"), Write(2, "n0", "k", "c-1")]
-    assert not carried_twice(nodes)
+    assert not duplicate_writes(nodes)
     nodes[1].writes.append(Write(3, "n1", "k", "c-0"))
-    assert carried_twice(nodes) == {"c-0": 2}
+    assert duplicate_writes(nodes) == {"c-0": 2}
