--- a/lapispass/net/process.py
+++ b/lapispass/net/process.py
@@ -16,22 +16,22 @@
 
 
 def install_signal_handlers(
-    stop: Callable[[], None], print_counters: Callable[[], None], read_again: Callable[[], bool]
+    stop: Callable[[], None], print_counters: Callable[[], None], reload: Callable[[], bool]
 ) -> None:
     """SIGTERM and SIGINT stop the process, SIGUSR1 logs its counters, SIGHUP reloads its file.
 
-    `read_again` returns False if the file temporarily cannot be read; it is then retried for a while.
+    `reload` returns False if the file temporarily cannot be read; it is then retried for a while.
     """
     loop = asyncio.get_running_loop()
 
-    def reread(attempts: int = round(START.wait_s / START.pause_s)) -> None:
-        if not read_again() and attempts > 1:
-            loop.call_later(START.pause_s, reread, attempts - 1)
+    def reload_with_retries(attempts: int = round(START.wait_s / START.pause_s)) -> None:
+        if not reload() and attempts > 1:
+            loop.call_later(START.pause_s, reload_with_retries, attempts - 1)
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
     loop.add_signal_handler(signal.SIGUSR1, print_counters)
-    loop.add_signal_handler(signal.SIGHUP, reread)
+    loop.add_signal_handler(signal.SIGHUP, reload_with_retries)
 
 
 def run_to_completion(main: Coroutine[Any, Any, None]) -> None:
