--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -20,7 +20,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.http import Backoff
 from lapispass.net.limits import Limits
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.net.probes import Probes
 from lapispass.operator import read as operator
 from lapispass.operator.operator_pb2 import Node
@@ -44,7 +44,7 @@
                 [source.at("alone", "missing: the file does not describe a controller without the platform")]
             )
         self.source, self.clock, self.counters = source, Clock(), Counters()
-        self.log = Part("host", 1_000_000)
+        self.log = PartLogger("host", 1_000_000)
         self.deployment = operator.alone(source.told)
         self.limits = limits = Limits()
         self.inbox: list[interface.Event] = []
@@ -250,10 +250,10 @@
 async def serve(path: Path, seed: int, host_type: type[Host]) -> None:
     """Runs a controller process until a signal stops it."""
     host = host_type(operator.read_at_start(path), seed)
-    process.on_signals(host.stop, host.print_counters, host.read_again)
+    process.install_signal_handlers(host.stop, host.print_counters, host.read_again)
     await host.run()
 
 
 def main(path: Path, seed: int, host_type: type[Host] = Host) -> int:
     """The exit code of the process: 0 stopped, 1 failed, 2 invalid input."""
-    return process.status(serve(path, seed, host_type), BadFile, f"{path}: xds.listen")
+    return process.exit_status(serve(path, seed, host_type), BadFile, f"{path}: xds.listen")
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -25,7 +25,7 @@
 from lapispass.net import log
 from lapispass.net.counters import Counters
 from lapispass.net.http import within
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator.read import BadFile, Source
 from lapispass.xds import codec
 from lapispass.xds.closing_server import ClosingServer
@@ -67,7 +67,7 @@
         self.event_sink, self.now, self.deployment, self.limits = event_sink, now, deployment, limits
         self.connect_limiter, self.counters, self.tls = connect_limiter, counters, tls
         self.listen, self.address = listen, ""
-        self.log = Part("xds", 1_000_000)
+        self.log = PartLogger("xds", 1_000_000)
         self.cache = ResourceCache()
         self.snapshot = TableSnapshot(
             deployment.slices, deployment.classes, deployment.admission_mode == "share"
@@ -138,7 +138,7 @@
         """Calls `current_time` regularly, so that a long gap between two calls means a pause."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            log.write_on()
+            log.flush_pending()
             self.current_time()
 
     # serving
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 from async_tests import ended
-from parties import Party
+from parties import LoopbackServer
 from support_gate import DEPLOYMENT, MS, SHORT_LIMITS, Fleet, fleet, take_upgrade, until
 from websockets.asyncio.client import ClientConnection, connect
 from websockets.exceptions import ConnectionClosed
@@ -209,7 +209,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     async with (
-        Party(stall) as silent,
+        LoopbackServer(stall) as silent,
         fleet(tmp_path, 3, limits=replace(SHORT_LIMITS, ping_us=60_000 * MS)) as env,
     ):
         key = key_at(env, "n0")
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines come whole and in order, or not at all, and never wait."""
+"""Log lines are written completely and in order, or dropped, and never block the process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from lapispass.net import log
-from lapispass.net.log import KeyValue, Part, Steady
+from lapispass.net.log import KeyValueFormatter, NonBlockingHandler, PartLogger
 
 
 def record(text: str) -> logging.LogRecord:
@@ -18,18 +18,18 @@
 
 
 def test_a_line_that_is_written_in_parts_is_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    # After a short write the next line went on in the middle of the one before.
+    # After a short write, the next line used to begin in the middle of the previous one.
     reader, writer = os.pipe()
-    whole, left = os.write, [3, 0, 5]
+    write_all, left = os.write, [3, 0, 5]
 
     def write(descriptor: int, line: bytes) -> int:
         if not left:
-            return whole(descriptor, line)
+            return write_all(descriptor, line)
         if (size := left.pop(0)) == 0:
             raise BlockingIOError
-        return whole(descriptor, line[:size])
+        return write_all(descriptor, line[:size])
 
-    handler = Steady(writer)
+    handler = NonBlockingHandler(writer)
     monkeypatch.setattr(os, "write", write)
     for number in range(4):
         handler.emit(record(f"event {number}"))
@@ -41,7 +41,7 @@
 
 def test_lines_for_which_there_is_no_room_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
-    handler = Steady(writer)
+    handler = NonBlockingHandler(writer)
 
     def full(descriptor: int, line: bytes) -> int:
         raise BlockingIOError
@@ -57,15 +57,15 @@
 
 
 def test_a_line_tells_the_time_since_the_start_beside_the_wall_clock() -> None:
-    line = KeyValue().format(record("event"))
+    line = KeyValueFormatter().format(record("event"))
     assert line.startswith("time=") and float(line.rpartition(" up=")[2]) >= 0
 
 
 def test_a_log_line_is_key_value_and_never_waits() -> None:
     read, write = os.pipe()
     os.set_blocking(read, False)
-    handler = Steady(write)
-    handler.setFormatter(KeyValue())
+    handler = NonBlockingHandler(write)
+    handler.setFormatter(KeyValueFormatter())
     record = logging.makeLogRecord(
         {
             "name": "lapispass.news",
@@ -78,16 +78,16 @@
     line, _, up = os.read(read, 10_000).decode().rpartition(" up=")
     assert line.endswith(' level=info part=news event="news lost" why="a \\"b\\"\\nc" count=3 part_of=0.25')
     assert re.fullmatch(r"\d+\.\d{3}\n", up)
-    for _ in range(2000):  # nobody reads: the pipe fills up
+    for _ in range(2000):  # without a reader the pipe fills up
         handler.handle(record)
     assert handler.lost > 0
     os.close(read)
-    handler.handle(record)  # nor does a reader that went away do harm
+    handler.handle(record)  # a reader that has gone away does no harm either
     os.close(write)
 
 
 def test_lines_that_a_peer_can_cause_are_few(caplog: pytest.LogCaptureFixture) -> None:
-    part = Part("some", 3_600_000_000)
+    part = PartLogger("some", 3_600_000_000)
     for _ in range(50):
         part.rate_limited("odd", why=1)
         part.rate_limited("odd", kind="rare")
@@ -97,7 +97,7 @@
 
 
 def test_a_line_that_had_to_wait_is_written_without_a_further_one() -> None:
-    """Guards against a log whose last line, of a start or of an end, is seen only with the next one."""
+    """The last line of a start or an end must not stay buffered until the next one."""
     read, write = os.pipe()
     os.set_blocking(write, False)
     filled = 0
@@ -107,10 +107,10 @@
     before = logging.getLogger().handlers[:]
     handler = log.start(write)
     try:
-        Part("test").say("last line")
+        PartLogger("test").say("last line")
         while filled > 0:
             filled -= len(os.read(read, 1 << 16))
-        log.write_on()
+        log.flush_pending()
         assert b'event="last line"' in os.read(read, 1 << 16)
         assert not handler.lost
     finally:
--- a/tests/test_soak_gate.py
+++ b/tests/test_soak_gate.py
@@ -13,7 +13,7 @@
 import pytest
 import soak_gate
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
-from parties import Party, play
+from parties import LoopbackServer, play
 from soak import Verdict
 from soak_gate import Client, GateDay, duplicate_writes, play_day
 
@@ -75,7 +75,7 @@
 
     async def test() -> None:
         monkeypatch.setattr(soak_gate, "ANSWER_S", 0.3)
-        async with Party(serve) as party:
+        async with LoopbackServer(serve) as party:
             address = party.address.split(":")
             client = make_client(tmp_path, lambda: asyncio.open_connection(*address))
             running_client = asyncio.create_task(client.run(pauses_s=(10.0,)))
