--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -51,7 +51,7 @@
 from lapispass.core.versions import KINDS, ResourceCache
 from lapispass.gate import wire
 from lapispass.net import codec as words
-from lapispass.net.codec import Codec, Listing
+from lapispass.net.codec import Codec, RegistryMessage
 from lapispass.net.collectors import ClientConnection, Collectors
 from lapispass.net.counters import Counters
 from lapispass.net.launch import Launch
@@ -59,7 +59,7 @@
 from lapispass.net.lines import LineSplitter
 from lapispass.net.probes import Probes
 from lapispass.net.registry import Registry
-from lapispass.net.relay import Calls, News
+from lapispass.net.relay import Calls, EventStream
 from lapispass.operator import read as operator
 from lapispass.peers.host import SharedHost
 from lapispass.standins import fleet_parties
@@ -243,7 +243,7 @@
 
 def registry_client() -> Registry:
     return Registry(
-        "127.0.0.1:1", Listing(0, False, (), {}, 0), lambda event: None, CODEC, LIMITS, Counters()
+        "127.0.0.1:1", RegistryMessage(0, False, (), {}, 0), lambda event: None, CODEC, LIMITS, Counters()
     )
 
 
@@ -253,7 +253,7 @@
                [(count, len(text)) for count, text in pages.items()])  # fmt: skip
     yield Cost("registry", "bytes of the whole list, without spaces", "B", "servers",
                [(count, len(page(count, False))) for count in SERVERS])  # fmt: skip
-    told = {count: CODEC.listing(text) for count, text in pages.items()}
+    told = {count: CODEC.parse_registry_text(text) for count, text in pages.items()}
 
     async def taking() -> list[tuple[int, float]]:
         clients = {count: registry_client() for count in SERVERS}
@@ -262,7 +262,7 @@
     async def keeping(count: int) -> tuple[float, float]:
         def one() -> Registry:
             client = registry_client()
-            client.take(CODEC.listing(pages[count]))
+            client.take(CODEC.parse_registry_text(pages[count]))
             return client
 
         return held(one)
@@ -346,7 +346,7 @@
     async def reading(told: dict[int, bytes]) -> list[tuple[int, float]]:
         heard: list[interface.Event] = []
         calls = Calls("127.0.0.1:1", CODEC, LIMITS, Counters())
-        stream = News("127.0.0.1:1", calls, heard.append, CODEC, LIMITS, Counters())
+        stream = EventStream("127.0.0.1:1", calls, heard.append, CODEC, LIMITS, Counters())
 
         def read(text: bytes) -> None:
             name, data = "", ""
@@ -377,7 +377,7 @@
         lines: list[interface.Order] = [
             interface.SetTableEntry(number, f"s-{number:08x}", 1.0) for number in range(count)
         ]
-        return [words.call(item.text for item in part) for part in calls.parts(lines)]
+        return [words.call_body(item.text for item in part) for part in calls.split_into_calls(lines)]
 
     yield Cost("relay", "bytes of the calls that set a line for each slice, escaped", "B", "slices",
                [(count, sum(map(len, write(count)))) for count in SLICES])  # fmt: skip
--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/fronts.py
@@ -16,8 +16,10 @@
 
 def joined(source: Source) -> Callable[[Launch], Launch]:
     """Gates count as proxies: each may still act on an older table when a controller starts."""
-    more = len(source.told.gates.name)
-    return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + more))
+    more = len(source.settings.gates.name)
+    return lambda launch: replace(
+        launch, deployment=replace(launch.deployment, proxies=launch.deployment.proxies + more)
+    )
 
 
 def attach(source: Source) -> Callable[[Service], None]:
@@ -25,14 +27,14 @@
 
     def fronts(service: Service) -> None:
         try:
-            if source.told.HasField("gates"):
+            if source.settings.HasField("gates"):
                 from lapispass.gate.gate_server import GateServer
 
-                service.beside.append(GateServer(service, source))
-            if source.told.HasField("xds"):
+                service.additional_fronts.append(GateServer(service, source))
+            if source.settings.HasField("xds"):
                 from lapispass.xds.platform_server import PlatformXdsServer
 
-                service.beside.append(PlatformXdsServer(service, source))
+                service.additional_fronts.append(PlatformXdsServer(service, source))
         except BadFile as error:
             raise BadStart(str(error)) from None
 
@@ -46,10 +48,10 @@
     except BadFile as error:
         print(error, file=sys.stderr)
         return 2
-    if source.told.HasField("alone"):
+    if source.settings.HasField("alone"):
         from lapispass.xds.host import main as host
 
-        if source.told.alone.HasField("shared"):
+        if source.settings.alone.HasField("shared"):
             from lapispass.peers.host import SharedHost
 
             return host(path, drawn(), SharedHost)
--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -52,12 +52,12 @@
     controller's table changes and plans to the gates."""
 
     def __init__(self, service: Service, source: Source, limits: Limits | None = None) -> None:
-        settings = source.told
+        settings = source.settings
         if not settings.HasField("gates"):
             raise BadFile([source.at("gates", "missing: the file has no listener for gates")])
         self.service, self.settings, self.limits = service, settings.gates, limits or Limits()
         self.secret = operator.secret(settings.gates.secret_file, source, "gates.secret_file")
-        deployment = service.launch.told
+        deployment = service.launch.deployment
         bounds = operator.bounds(settings)
         if not settings.nodes.HasField("cold_ms"):
             bounds = bounds._replace(cold_us=deployment.cold_us)
@@ -83,7 +83,7 @@
 
     # following the service's turns
 
-    def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
+    def turn_taken(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Called after each turn of the controller: sends its table changes and its barrier to every gate,
         as a whole and in order."""
         if any(isinstance(event, interface.RegistryUpdate) for event in events):
@@ -128,7 +128,7 @@
             counters=self.counters,
         )
         self.address = await bound_address(listener)
-        self.log.say("listening for gates", address=self.address, gates=",".join(self.numbers))
+        self.log.info("listening for gates", address=self.address, gates=",".join(self.numbers))
         try:
             while True:
                 await asyncio.sleep(self.limits.evaluation_us / 1e6)
@@ -161,9 +161,9 @@
         )
         orders = self.connection_controller.evaluate(now)
         for note in orders.notes:
-            self.log.say("drain", text=note)
+            self.log.info("drain", text=note)
         for node, load in orders.loads.items():
-            self.service.tell(interface.HeldConnectionLoad(node, load))
+            self.service.deliver(interface.HeldConnectionLoad(node, load))
         for name, plan in orders.plans.items():
             self.send_plan(name, plan, now)
 
@@ -236,7 +236,7 @@
             former.writer.transport.abort()
         now = self.service.clock.now()
         gate = JoinedGate(hello.name, self.numbers[hello.name], writer)
-        lease = self.service.launch.told.lease_us
+        lease = self.service.launch.deployment.lease_us
         writer.write(
             wire.encode_line(wire.Welcome(wire.proof(self.secret, hello.nonce, "controller"), lease))
         )
@@ -247,12 +247,12 @@
         )
         self.gates[gate.name] = gate
         self.connection_controller.gate_joined(now, gate.name, hello.zone, Version(*hello.plan), hello.drains)
-        self.service.tell(
+        self.service.deliver(
             interface.ProxyJoined(gate.number, gate.name not in self.last_boots, hello.zone, None)
         )
         self.last_boots[gate.name] = hello.boot, 0
         self.counters["gates.joined"] += 1
-        self.log.say("gate joined", gate=gate.name, zone=hello.zone, drains=len(hello.drains))
+        self.log.info("gate joined", gate=gate.name, zone=hello.zone, drains=len(hello.drains))
         return gate
 
     def name_conflict(self, name: str, boot: str) -> str:
@@ -260,7 +260,7 @@
         a new process may join only when the lease of the one before has ended, since that one may still
         write."""
         former, left = self.last_boots.get(name, (boot, 0))
-        lease = self.service.launch.told.lease_us
+        lease = self.service.launch.deployment.lease_us
         if former == boot or (name not in self.gates and self.service.clock.now() > left + lease):
             return ""
         return "another process has had this name within the lease"
@@ -272,7 +272,7 @@
                 self.send(gate, wire.encode_line(message))
             case wire.BarrierAcks(marks):
                 for mark, took_us in marks:
-                    self.service.tell(interface.BarrierAck(gate.number, mark, max(0, took_us)))
+                    self.service.deliver(interface.BarrierAck(gate.number, mark, max(0, took_us)))
             case wire.Report():
                 self.counters["gates.reports"] += 1
                 self.connection_controller.report_received(
@@ -289,6 +289,6 @@
         del self.gates[gate.name]
         self.last_boots[gate.name] = self.last_boots[gate.name][0], self.service.clock.now()
         self.connection_controller.gate_left(self.service.clock.now(), gate.name)
-        self.service.tell(interface.ProxyLeft(gate.number))
+        self.service.deliver(interface.ProxyLeft(gate.number))
         self.counters["gates.left"] += 1
-        self.log.say("gate left", gate=gate.name, why=why)
+        self.log.info("gate left", gate=gate.name, why=why)
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -30,7 +30,7 @@
     """One gate. To embed it, `await Gate(source, seed).run()`; `stop()` ends that in an orderly way."""
 
     def __init__(self, source: Source, seed: int, limits: Limits | None = None) -> None:
-        settings = source.told
+        settings = source.settings
         if not settings.HasField("gate"):
             raise BadFile([source.at("gate", "missing: the file has no settings for a gate")])
         self.source, self.settings = source, settings.gate
@@ -132,7 +132,7 @@
                 *([self.uplink.run()] if self.uplink else []),
             )
         ]
-        self.log.say("listening", name=self.settings.name, address=self.address, zone=self.settings.zone)
+        self.log.info("listening", name=self.settings.name, address=self.address, zone=self.settings.zone)
         try:
             done, _ = await asyncio.wait(background_tasks, return_when=asyncio.FIRST_COMPLETED)
             for background_task in done:
@@ -233,7 +233,7 @@
 
     def print_counters(self) -> None:
         counted = {**self.counters.fields(), **call_failures.counted(), "log.lost": log.lost()}
-        self.log.say("counters", held=len(self.tunnels), **counted)
+        self.log.info("counters", held=len(self.tunnels), **counted)
 
     def reload(self) -> bool:
         """On SIGHUP, a standalone gate reads its nodes and table entries again. An invalid file changes
@@ -244,7 +244,7 @@
             if self.standalone is not None:
                 self.standalone.follow(source)
         except BadFile as error:
-            if error.may_pass:
+            if error.is_transient:
                 return False
             self.counters["gate.reloads_refused"] += 1
             for finding in error.findings:
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -21,7 +21,7 @@
 
     def __init__(self, gate: TableHost, source: Source) -> None:
         self.gate = gate
-        settings = source.told
+        settings = source.settings
         now = gate.clock.now()
         self.connection_controller = ConnectionController(
             operator.classes(settings), operator.bounds(settings), operator.drain_terms(settings), now
@@ -36,7 +36,7 @@
     def follow(self, source: Source) -> None:
         """Applies the nodes and table entries of a file. Slices without an entry are spread over the ready
         nodes."""
-        settings, gate = source.told, self.gate
+        settings, gate = source.settings, self.gate
         if (
             not settings.HasField("gate")
             or settings.gate.slices != gate.settings.slices
@@ -102,6 +102,6 @@
         self.connection_controller.update_nodes(now, self.views)
         orders = self.connection_controller.evaluate(now)
         for note in orders.notes:
-            gate.log.say("drain", text=note)
+            gate.log.info("drain", text=note)
         if plan := orders.plans.get(name):
             gate.follow_plan(plan)
--- a/lapispass/gate/uplink.py
+++ b/lapispass/gate/uplink.py
@@ -90,7 +90,7 @@
             self.writer = writer
             self.heartbeats_sent.clear()
             gate.counters["uplink.joined"] += 1
-            gate.log.say("joined controller", controller=self.address)
+            gate.log.info("joined controller", controller=self.address)
             sending = asyncio.get_running_loop().create_task(self.send_heartbeats(writer))
             try:
                 while True:
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -141,7 +141,7 @@
         """The controller, or the controller anew: under another port, with the same store."""
         self.file.write_text(file_of(self.states, "store", self.started))
         self.host = Host(operator.read(self.file), self.verdict.seed + 1)
-        turned = self.host.xds_server.turned
+        turned = self.host.xds_server.turn_taken
 
         def watched(events: list[interface.Event], orders: list[interface.Order]) -> None:
             for order in orders:
@@ -151,7 +151,7 @@
                     self.verdict.handovers += owner is not None
             turned(events, orders)
 
-        self.host.xds_server.turned = watched  # type: ignore[method-assign, assignment]
+        self.host.xds_server.turn_taken = watched  # type: ignore[method-assign, assignment]
         self.running = asyncio.create_task(self.host.run())
         while not self.host.xds_server.address:
             if self.running.done():
@@ -163,7 +163,7 @@
 
     async def kill(self) -> None:
         """The controller is gone without a word."""
-        self.host.xds_server.turned = lambda events, orders: None  # type: ignore[method-assign]
+        self.host.xds_server.turn_taken = lambda events, orders: None  # type: ignore[method-assign]
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
         for client in self.clients:
--- a/lapispass/net/acceptor.py
+++ b/lapispass/net/acceptor.py
@@ -8,7 +8,7 @@
 import ssl
 from collections.abc import Awaitable, Callable
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.net.counters import Counters
 from lapispass.net.http import split_address
 from lapispass.net.log import PartLogger
@@ -46,7 +46,7 @@
 
 def _is_transient(error: Exception) -> bool:
     """Whether another attempt to use an address may succeed."""
-    return isinstance(error, OSError) and error.errno in momentary.LOCAL
+    return isinstance(error, OSError) and error.errno in transient_errors.LOCAL
 
 
 def stream_protocols(serve: Serve, read_bytes: int) -> ProtocolFactory:
--- a/lapispass/net/codec.py
+++ b/lapispass/net/codec.py
@@ -17,7 +17,7 @@
 
 STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
 # Reports name their figures as the deployment's settings do, or as the protocol's page does.
-LOAD_WORDS = LOAD_FIELDS | {
+LOAD_NAMES = LOAD_FIELDS | {
     "inflight": "held",
     "queue": "waiting",
     "util": "busy",
@@ -25,18 +25,18 @@
     "qps": "completed_per_s",
     "eps": "failed_per_s",
 }
-FIGURE_MOST = 1e9  # above any count or span in milliseconds that means something
-UNIX_MS_MOST = 1e13  # the same for a moment
-MARKS = 1 << 16
-RESERVED = re.compile(r"[,;\r\n]")  # what separates on the wire, and so no id holds
-SIZES = (1e-3, 1e3)  # of servers, one to the other
+MAX_NUMBER = 1e9  # above any count or span in milliseconds that means something
+MAX_UNIX_MS = 1e13  # the same for a moment
+BARRIER_NUMBERS = 1 << 16
+SEPARATORS = re.compile(r"[,;\r\n]")  # what separates on the wire, and so no id holds
+SIZE_BOUNDS = (1e-3, 1e3)  # of servers, one to the other
 
 
 class WireError(Exception):
     """A message that does not follow the wire."""
 
 
-class Listing(NamedTuple):
+class RegistryMessage(NamedTuple):
     """A message of the registry."""
 
     version: int
@@ -46,7 +46,7 @@
     unreadable: int
 
 
-def figure(value: Any, most: float = FIGURE_MOST) -> float:
+def parse_number(value: Any, most: float = MAX_NUMBER) -> float:
     """A number from 0 up that means something."""
     if isinstance(value, bool):
         raise WireError(f"no figure: {value!r}")
@@ -59,22 +59,22 @@
     return number
 
 
-def whole(value: Any) -> int:
-    number = figure(value)
+def parse_integer(value: Any) -> int:
+    number = parse_number(value)
     if number != int(number):
         raise WireError(f"no whole number: {value!r}")
     return int(number)
 
 
-def flag(value: str) -> bool:
+def parse_flag(value: str) -> bool:
     if value not in ("0", "1"):
         raise WireError(f"neither 0 nor 1: {value!r}")
     return value == "1"
 
 
-def micros(value: Any) -> int:
+def parse_milliseconds(value: Any) -> int:
     """Milliseconds on the wire, whole microseconds inside."""
-    return round(figure(value) * 1000)
+    return round(parse_number(value) * 1000)
 
 
 class Codec:
@@ -84,46 +84,48 @@
     life, still on its way after a restart, must not pass for one to a mark of this life.
     """
 
-    def __init__(self, told: interface.Deployment, id_bytes: int, first_mark: int = 0) -> None:
-        self.told, self.id_bytes, self.first_mark = told, id_bytes, first_mark
-        self.classes = {kind.name for kind in told.classes}
+    def __init__(self, deployment: interface.Deployment, id_bytes: int, first_barrier: int = 0) -> None:
+        self.deployment, self.id_bytes, self.first_barrier = deployment, id_bytes, first_barrier
+        self.classes = {kind.name for kind in deployment.classes}
 
-    def _id(self, value: Any) -> str:
-        if not isinstance(value, str) or not 0 < len(value) <= self.id_bytes or RESERVED.search(value):
+    def _parse_id(self, value: Any) -> str:
+        if not isinstance(value, str) or not 0 < len(value) <= self.id_bytes or SEPARATORS.search(value):
             raise WireError(f"no id: {str(value)[:40]!r}")
         return value
 
-    def _below(self, value: str, most: int) -> int:
-        number = whole(value)
+    def _parse_index(self, value: str, most: int) -> int:
+        number = parse_integer(value)
         if number >= most:
             raise WireError(f"{number} where {most} is the end")
         return number
 
-    def _where(self, value: dict[str, Any]) -> Any:
+    def _read_zone(self, value: dict[str, Any]) -> Any:
         """The zone that a message names; where the settings name none, it may be left out."""
-        return value["locality"] if self.told.zones else value.get("locality") or ""
+        return value["locality"] if self.deployment.zones else value.get("locality") or ""
 
-    def load(self, text: str, between: str) -> tuple[float | None, ...] | None:
+    def parse_load(self, text: str, between: str) -> tuple[float | None, ...] | None:
         """A load report in the order of the deployment's fields.
 
         What is missing is None; one figure that cannot be read makes the whole report None.
         """
         pairs = (pair.strip().partition(between) for pair in text.split(","))
-        found = {LOAD_WORDS.get(name, name): value for name, _, value in pairs}
+        found = {LOAD_NAMES.get(name, name): value for name, _, value in pairs}
         try:
-            report = tuple(figure(found[name]) if name in found else None for name in self.told.load_fields)
+            report = tuple(
+                parse_number(found[name]) if name in found else None for name in self.deployment.load_fields
+            )
         except ValueError as error:
             raise WireError(str(error)) from None
         return report if any(value is not None for value in report) else None
 
     # collectors
 
-    def _zone(self, value: str) -> str:
-        if value not in (self.told.zones or ("",)):
+    def _known_zone(self, value: str) -> str:
+        if value not in (self.deployment.zones or ("",)):
             raise WireError(f"unknown zone {value[:40]!r}")
         return value
 
-    def report(self, line: memoryview, joined: bool) -> tuple[str, str | interface.Event]:
+    def parse_report(self, line: memoryview, joined: bool) -> tuple[str, str | interface.Event]:
         """A collector's line: its kind, and the zone that it joins for, or the event. Joining comes first."""
         try:
             kind, *words = str(line, "utf-8").split()
@@ -132,19 +134,19 @@
             value = dict(word.split("=", 1) for word in words)
             match kind:
                 case "SOURCE":
-                    return kind, self._zone(self._where(value))
+                    return kind, self._known_zone(self._read_zone(value))
                 case "LOAD":
-                    tries, lost = whole(value["total"]), whole(value["errors"])
+                    tries, lost = parse_integer(value["total"]), parse_integer(value["errors"])
                     if lost > tries:
                         raise WireError(f"{lost} of {tries} failed")
-                    load = self.load(value["metrics"], ":") if value.get("metrics") else None
+                    load = self.parse_load(value["metrics"], ":") if value.get("metrics") else None
                     return kind, interface.ServerReport(
-                        self._id(value["endpoint"]),
-                        self._zone(self._where(value)),
+                        self._parse_id(value["endpoint"]),
+                        self._known_zone(self._read_zone(value)),
                         lost,
                         tries,
-                        micros(value["rtt"]),
-                        micros(value["interval"]),
+                        parse_milliseconds(value["rtt"]),
+                        parse_milliseconds(value["interval"]),
                         load,
                     )
                 case "SHARD":
@@ -152,11 +154,11 @@
                         raise WireError(f"unknown class {value['route'][:40]!r}")
                     # More may fail than came: what came in an interval may fail in the next.
                     return kind, interface.RequestReport(
-                        self._below(value["shard"], self.told.slices),
+                        self._parse_index(value["shard"], self.deployment.slices),
                         value["route"],
-                        whole(value["total"]),
-                        whole(value["errors"]),
-                        micros(value["interval"]),
+                        parse_integer(value["total"]),
+                        parse_integer(value["errors"]),
+                        parse_milliseconds(value["interval"]),
                     )
             raise WireError(f"unknown kind {kind[:40]!r}")
         except (KeyError, ValueError, IndexError) as error:  # a UnicodeError is a ValueError
@@ -164,34 +166,39 @@
 
     # the relay's news
 
-    def news(self, kind: str, data: str) -> interface.Event | None:
+    def parse_event(self, kind: str, data: str) -> interface.Event | None:
         """One event of the relay's stream; None for a kind that means nothing here."""
         try:
-            value = form(data)
+            value = parse_form(data)
             match kind:
                 case "SUBSCRIBE":
-                    rate = figure(value["w"]) if value.get("w") else None
+                    rate = parse_number(value["w"]) if value.get("w") else None
                     return interface.ProxyJoined(
-                        self._below(value["node"], self.told.proxies),
-                        flag(value["cold"]),
-                        self._where(value),
+                        self._parse_index(value["node"], self.deployment.proxies),
+                        parse_flag(value["cold"]),
+                        self._read_zone(value),
                         rate,
                         reads_store=True,
                     )
                 case "CLOSED":
-                    return interface.ProxyLeft(self._below(value["node"], self.told.proxies))
+                    return interface.ProxyLeft(self._parse_index(value["node"], self.deployment.proxies))
                 case "ACK":
-                    mark = (self._below(value["nonce"], MARKS) - self.first_mark) % MARKS
+                    barrier = (
+                        self._parse_index(value["nonce"], BARRIER_NUMBERS) - self.first_barrier
+                    ) % BARRIER_NUMBERS
                     return interface.BarrierAck(
-                        self._below(value["node"], self.told.proxies), mark, micros(value["latency"])
+                        self._parse_index(value["node"], self.deployment.proxies),
+                        barrier,
+                        parse_milliseconds(value["latency"]),
                     )
                 case "GRANT":
                     return interface.SliceGrant(
-                        self._below(value["shard"], self.told.slices), flag(value["set"])
+                        self._parse_index(value["shard"], self.deployment.slices), parse_flag(value["set"])
                     )
                 case "ROW":
                     return interface.StoredOwner(
-                        self._below(value["shard"], self.told.slices), self._id(value["endpoint"])
+                        self._parse_index(value["shard"], self.deployment.slices),
+                        self._parse_id(value["endpoint"]),
                     )
             return None
         except (KeyError, ValueError) as error:
@@ -199,16 +206,22 @@
 
     # the registry
 
-    def listing(self, text: str | bytes | bytearray | memoryview) -> Listing:
+    def parse_registry_text(self, text: str | bytes | bytearray | memoryview) -> RegistryMessage:
         """A list or a line of changes. An entry that can't be read is left out and counted."""
         try:
-            return self.listed(json.loads(text if isinstance(text, str) else str(text, "utf-8")))
+            return self.parse_registry_message(
+                json.loads(text if isinstance(text, str) else str(text, "utf-8"))
+            )
         except (ValueError, RecursionError) as error:
             raise WireError(f"{type(error).__name__} {error}") from None
 
-    def listed(self, told: Any) -> Listing:
+    def parse_registry_message(self, message: Any) -> RegistryMessage:
         try:
-            version, complete, members = whole(told["revision"]), told["complete"], told["members"]
+            version, complete, members = (
+                parse_integer(message["revision"]),
+                message["complete"],
+                message["members"],
+            )
             if not isinstance(members, list):
                 raise WireError("members are no list")
             if not isinstance(
@@ -221,16 +234,16 @@
         addresses: dict[interface.BackendId, str] = {}
         for member in members:
             try:
-                name = self._id(member["id"])
+                name = self._parse_id(member["id"])
                 # A start is a moment: it exceeds every span, and was once refused as too large a figure.
-                born = round(figure(member.get("up_since_ms") or 0, UNIX_MS_MOST) * 1000)
-                size = figure(member.get("size") or 0)
+                born = round(parse_number(member.get("up_since_ms") or 0, MAX_UNIX_MS) * 1000)
+                size = parse_number(member.get("size") or 0)
                 entries.append(
                     interface.RegistryEntry(
                         name,
-                        str(self._where(member)),
+                        str(self._read_zone(member)),
                         STATES[member["phase"]],
-                        size if SIZES[0] <= size <= SIZES[1] else None,
+                        size if SIZE_BOUNDS[0] <= size <= SIZE_BOUNDS[1] else None,
                         born or None,
                     )
                 )
@@ -238,50 +251,52 @@
                     addresses[name] = address
             except (WireError, KeyError, TypeError, ValueError, AttributeError):
                 continue
-        return Listing(version, complete, tuple(entries), addresses, len(members) - len(entries))
+        return RegistryMessage(version, complete, tuple(entries), addresses, len(members) - len(entries))
 
     # orders
 
-    def written(self, order: interface.Order) -> str:
+    def format_order(self, order: interface.Order) -> str:
         """One order as the relay reads it."""
         match order:
             case interface.SetTableEntry(table, backend, weight):
-                return f"SET,{table},{backend},{plain(weight)}"
+                return f"SET,{table},{backend},{format_number(weight)}"
             case interface.ClearTable(table):
                 return f"DEL,{table}"
             case interface.SetWithdrawn(backend, out):
                 return f"{'OUT' if out else 'IN'},{backend}"
             case interface.SetAdmission(table, classes, retry, share):
-                names = [kind.name for place, kind in enumerate(self.told.classes) if classes >> place & 1]
+                names = [
+                    kind.name for place, kind in enumerate(self.deployment.classes) if classes >> place & 1
+                ]
                 tables = "*" if table is None else table
-                return f"LIMIT,{tables},{'+'.join(names) or '*'},{plain(share)},{retry}"
-            case interface.Barrier(mark, every_proxy):
-                return f"SYNC,{(mark + self.first_mark) % MARKS},{int(every_proxy)}"
+                return f"LIMIT,{tables},{'+'.join(names) or '*'},{format_number(share)},{retry}"
+            case interface.Barrier(number, every_proxy):
+                return f"SYNC,{(number + self.first_barrier) % BARRIER_NUMBERS},{int(every_proxy)}"
         raise TypeError(f"the relay knows no such order: {order!r}")
 
 
-def form(data: str) -> dict[str, str]:
+def parse_form(data: str) -> dict[str, str]:
     """The fields of a form; most come in thousands a second and have nothing escaped."""
     if "%" in data or "+" in data:
         return dict(parse_qsl(data, keep_blank_values=True, strict_parsing=True))
     return dict(word.split("=", 1) for word in data.split("&"))
 
 
-def plain(value: float) -> str:
+def format_number(value: float) -> str:
     return str(int(value)) if value == int(value) else format(value, ".6g")
 
 
-def call(orders: Iterable[str]) -> bytes:
+def call_body(orders: Iterable[str]) -> bytes:
     """The form of a relay call."""
     return f"Action=ApplyOrders&orders={quote_plus(';'.join(orders))}".encode()
 
 
-class Refused(Exception):
+class CallRejected(Exception):
     """The relay turned a call back; none of it was carried out."""
 
 
-def taken(answer: bytes) -> int:
-    """How many orders the relay says it took; `Refused` with its word if it turned the call back."""
+def parse_call_answer(answer: bytes) -> int:
+    """How many orders the relay says it took; `CallRejected` with its word if it turned the call back."""
     try:
         root = ElementTree.fromstring(answer)
     except (ElementTree.ParseError, ValueError, LookupError) as error:
@@ -289,11 +304,11 @@
     count = root.find("entries/item/ok_count")
     if count is not None:
         try:
-            return whole((count.text or "").strip())
+            return parse_integer((count.text or "").strip())
         except ValueError as error:
             raise WireError(str(error)) from None
     text = " ".join(part.strip() for part in root.itertext())
     for word in ("throttled", "invalid"):
         if word in text.lower():
-            raise Refused(word)
+            raise CallRejected(word)
     raise WireError(f"neither a count nor a refusal: {text[:80]!r}")
--- a/lapispass/net/collectors.py
+++ b/lapispass/net/collectors.py
@@ -44,13 +44,13 @@
 
     def __init__(
         self,
-        tell: Callable[[interface.Event], None],
+        deliver: Callable[[interface.Event], None],
         codec: Codec,
         limits: Limits,
         counters: Counters,
         figures: IntervalFigures | None = None,
     ) -> None:
-        self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
+        self.deliver, self.codec, self.limits, self.counters = deliver, codec, limits, counters
         self.figures = figures or IntervalFigures(limits.late_us)
         self.log = PartLogger("collectors", limits.log_every_us)
         self.connections: dict[ClientConnection, None] = {}  # least recently used first
@@ -243,7 +243,7 @@
         if not line:
             return
         try:
-            kind, message = self.codec.report(line, connection.zone is not None)
+            kind, message = self.codec.parse_report(line, connection.zone is not None)
         except WireError as error:
             self.counters["collectors.unreadable"] += 1
             self.log.rate_limited("malformed line", why=error, **connection.fields())
@@ -256,7 +256,7 @@
         if isinstance(message, str):
             connection.zone = message
         else:
-            self.tell(message)
+            self.deliver(message)
 
     def mark_used(self, connection: ClientConnection) -> None:
         """Moves the connection to the end of the order of use, unless it is being closed."""
--- a/lapispass/net/event_loop.py
+++ b/lapispass/net/event_loop.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.net.resilient_socket import ResilientSocket
 from lapispass.net.retrying_selector import RetryingSelector
 from lapispass.retry import retry_blocking
@@ -27,5 +27,5 @@
 def new_event_loop() -> asyncio.AbstractEventLoop:
     """Creates an event loop. A temporary lack of descriptors is retried, so that the start does not fail."""
     return retry_blocking(
-        EventLoop, lambda error: isinstance(error, OSError) and error.errno in momentary.LOCAL
+        EventLoop, lambda error: isinstance(error, OSError) and error.errno in transient_errors.LOCAL
     )
--- a/lapispass/net/http.py
+++ b/lapispass/net/http.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.net.dial import open_transport
 from lapispass.net.limits import Limits
 from lapispass.net.streams import Reader
@@ -259,7 +259,7 @@
             try:
                 return await HttpConnection._dial(self.address, self.limits)
             except OSError as error:
-                if error.errno not in momentary.LOCAL | momentary.ROUTE:
+                if error.errno not in transient_errors.LOCAL | transient_errors.ROUTE:
                     raise
                 self.error, self.attempt_began_at = error, None
             await asyncio.sleep(LOCAL_PAUSE_S)
--- a/lapispass/net/interval_report.py
+++ b/lapispass/net/interval_report.py
@@ -44,4 +44,4 @@
             "unsent_bytes": self.collectors.unsent_bytes(),
         }
         shown = self.figures.take(self.clock.now(), self.progress()).shown()
-        self.log.say("interval", **{name: value for name, value in waiting.items() if value}, **shown)
+        self.log.info("interval", **{name: value for name, value in waiting.items() if value}, **shown)
--- a/lapispass/net/launch.py
+++ b/lapispass/net/launch.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from lapispass import deployment
-from lapispass.core import momentary
+from lapispass import deployment as settings
+from lapispass.core import transient_errors
 from lapispass.interface import Deployment
-from lapispass.net.codec import Codec, Listing, WireError
+from lapispass.net.codec import Codec, RegistryMessage, WireError
 from lapispass.net.http import split_address
 from lapispass.net.limits import Limits
 from lapispass.retry import RetryWindow, retry
@@ -19,17 +19,17 @@
 class BadStart(Exception):
     """Something at the start is missing or wrong; the text names it in one line.
 
-    `may_pass` where it is a call that failed, and may not the next time.
+    `is_transient` where it is a call that failed, and may not the next time.
     """
 
-    def __init__(self, text: str, may_pass: bool = False) -> None:
+    def __init__(self, text: str, is_transient: bool = False) -> None:
         super().__init__(text)
-        self.may_pass = may_pass
+        self.is_transient = is_transient
 
 
-def may_pass(error: Exception) -> bool:
+def is_transient(error: Exception) -> bool:
     """Whether a further attempt may succeed."""
-    return isinstance(error, BadStart) and error.may_pass
+    return isinstance(error, BadStart) and error.is_transient
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
     registry: str
     relay: str
     seed: int
-    known: Listing
-    told: Deployment
+    known: RegistryMessage
+    deployment: Deployment
     limits: Limits
 
     @classmethod
@@ -50,7 +50,7 @@
         """As `read`, which is tried again for `Limits.bind_us` while the file cannot be read."""
         limits = Limits()
         window = RetryWindow(limits.bind_us / 1e6, limits.retry_min_us / 1e6)
-        return await retry(lambda: cls.read(environment), may_pass, window)
+        return await retry(lambda: cls.read(environment), is_transient, window)
 
     @classmethod
     def read(cls, environment: Mapping[str, str]) -> Launch:
@@ -59,8 +59,8 @@
         Where the registry is, the file says first: a variable cannot change while the process runs.
         """
         try:
-            where = environment["LB_CONFIG"]
-            path = Path(where)
+            path_text = environment["LB_CONFIG"]
+            path = Path(path_text)
             most = Limits().config_bytes
             if (path.exists() and not path.is_file()) or path.stat().st_size > most:
                 raise ValueError(f"no file of {most} bytes at most")  # a pipe would stop us
@@ -68,12 +68,12 @@
         except KeyError as error:
             raise BadStart(f"variable {error.args[0]} is not set") from None
         except (OSError, ValueError, RecursionError) as error:
-            may_pass = isinstance(error, OSError) and error.errno in momentary.FILE
-            raise BadStart(f"LB_CONFIG {where!r}: {type(error).__name__} {error}", may_pass) from None
+            is_transient = isinstance(error, OSError) and error.errno in transient_errors.FILE
+            raise BadStart(f"LB_CONFIG {path_text!r}: {type(error).__name__} {error}", is_transient) from None
         if not isinstance(given, dict):
-            raise BadStart(f"LB_CONFIG {where!r}: no object")
+            raise BadStart(f"LB_CONFIG {path_text!r}: no object")
 
-        def one(variable: str, key: str) -> str:
+        def required(variable: str, key: str) -> str:
             value = environment.get(variable) or given.get(key)
             if not isinstance(value, str) or not value:
                 raise BadStart(f"neither variable {variable} nor key {key!r} in LB_CONFIG is set")
@@ -83,24 +83,24 @@
             part = "settings"
             # Whatever the settings say of discovery: on sockets nobody tells the list to whom has not asked
             # for it.
-            told = replace(deployment.read(given["settings"]), subscribes_to_registry=True)
+            deployment = replace(settings.read(given["settings"]), subscribes_to_registry=True)
             part = "limits"
-            sockets = deployment.SettingsSection(given).section("limits").integer("sockets", 1024)
-            limits = Limits.for_sockets(sockets, told.proxies, told.slices)
+            sockets = settings.SettingsSection(given).section("limits").integer("sockets", 1024)
+            limits = Limits.for_sockets(sockets, deployment.proxies, deployment.slices)
             part = "known"
-            listed = deployment.SettingsSection(given).section("known").content
-            known = Codec(told, limits.id_bytes).listed(
+            listed = settings.SettingsSection(given).section("known").content
+            known = Codec(deployment, limits.id_bytes).parse_registry_message(
                 listed or {"revision": 0, "complete": False, "members": []}
             )
             part = "seed"
             seed = int(str(given["seed"]), 16)
             part = "store.address"
-            relay = deployment.SettingsSection(given).section("store").string("address", None)
+            relay = settings.SettingsSection(given).section("store").string("address", None)
             split_address(relay)
             part = "listen"
-            split_address(listen := one("LB_LISTEN", "listen"))
+            split_address(listen := required("LB_LISTEN", "listen"))
             part = "discovery"
-            split_address(registry := given.get("discovery") or one("LB_DISCOVERY", "discovery"))
+            split_address(registry := given.get("discovery") or required("LB_DISCOVERY", "discovery"))
         except (KeyError, ValueError, TypeError, AttributeError, OverflowError, WireError) as error:
-            raise BadStart(f"LB_CONFIG {where!r}: {part}: {type(error).__name__} {error}") from None
-        return cls(one("LB_NAME", "name"), listen, registry, relay, seed, known, told, limits)
+            raise BadStart(f"LB_CONFIG {path_text!r}: {part}: {type(error).__name__} {error}") from None
+        return cls(required("LB_NAME", "name"), listen, registry, relay, seed, known, deployment, limits)
--- a/lapispass/net/log.py
+++ b/lapispass/net/log.py
@@ -106,11 +106,11 @@
         self.every_ns = every_us * 1000
         self.last: dict[tuple[str, str], tuple[int, int]] = {}
 
-    def say(self, event: str, level: int = logging.INFO, **fields: object) -> None:
+    def info(self, event: str, level: int = logging.INFO, **fields: object) -> None:
         self.logger.log(level, event, extra={"fields": fields})
 
     def warn(self, event: str, **fields: object) -> None:
-        self.say(event, logging.WARNING, **fields)
+        self.info(event, logging.WARNING, **fields)
 
     def rate_limited(
         self, event: str, *, level: int = logging.WARNING, kind: str = "", **fields: object
@@ -126,7 +126,7 @@
             self.last[event, kind] = (at, left_out + 1)
             return
         self.last[event, kind] = (now, 0)
-        self.say(event, level, **fields, **({"left_out": left_out} if left_out else {}))
+        self.info(event, level, **fields, **({"left_out": left_out} if left_out else {}))
 
     def failed(self, event: str, **fields: object) -> None:
         """Logs the current exception with its traceback; for use in an except block."""
--- a/lapispass/net/registry.py
+++ b/lapispass/net/registry.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from lapispass import interface
-from lapispass.net.codec import Codec, Listing, WireError
+from lapispass.net.codec import Codec, RegistryMessage, WireError
 from lapispass.net.counters import Counters
 from lapispass.net.http import (
     CONNECTION_ERRORS,
@@ -35,30 +35,30 @@
     one that comes, but not whole in its time, gives the next one twice as long. Silence is given no longer.
     """
 
-    def __init__(self, registry: Registry, quiet_us: int) -> None:
-        self.registry, self.quiet_us = registry, quiet_us
-        self.loop, self.quiet = asyncio.get_running_loop(), IdleTimeout(registry.limits.late_us)
+    def __init__(self, registry: Registry, idle_us: int) -> None:
+        self.registry, self.idle_us = registry, idle_us
+        self.loop, self.idle_timeout = asyncio.get_running_loop(), IdleTimeout(registry.limits.late_us)
         self.begun, self.until = False, 0.0
 
-    def came(self, whole: bool = False, begun: bool = True) -> None:
+    def received(self, whole: bool = False, begun: bool = True) -> None:
         """A piece has come: whether it ended a line, and whether it has begun another."""
         now = self.loop.time()
         if whole or not self.begun:
-            doublings = min(self.registry.slow, self.registry.limits.list_doublings)
-            self.until = now + (self.quiet_us << doublings) / 1e6
+            doublings = min(self.registry.slow_reads, self.registry.limits.list_doublings)
+            self.until = now + (self.idle_us << doublings) / 1e6
         self.begun = begun
-        self.quiet.extend(min(self.quiet_us, max(0, int((self.until - now) * 1e6))))
+        self.idle_timeout.extend(min(self.idle_us, max(0, int((self.until - now) * 1e6))))
 
     async def __aenter__(self) -> Progress:
-        await self.quiet.__aenter__()
-        self.quiet.extend(self.quiet_us)
+        await self.idle_timeout.__aenter__()
+        self.idle_timeout.extend(self.idle_us)
         return self
 
     async def __aexit__(self, *raised: Any) -> bool | None:
         try:
-            return await self.quiet.__aexit__(*raised)
+            return await self.idle_timeout.__aexit__(*raised)
         except TimeoutError:
-            self.registry.slow += self.begun
+            self.registry.slow_reads += self.begun
             raise
 
 
@@ -68,73 +68,77 @@
     def __init__(
         self,
         address: str,
-        known: Listing,
-        tell: Callable[[interface.Event], None],
+        known: RegistryMessage,
+        deliver: Callable[[interface.Event], None],
         codec: Codec,
         limits: Limits,
         counters: Counters,
-        replaced: Callable[[interface.BackendId], None] = lambda backend: None,
+        on_replaced: Callable[[interface.BackendId], None] = lambda backend: None,
     ) -> None:
-        self.tell, self.codec, self.limits, self.counters = tell, codec, limits, counters
-        self.replaced = replaced  # is told of a server that is at another address now, or has started anew
-        self.place, self.dialer = Endpoint(address, limits, self.begin, self.switch), Dialer(limits)
-        self.watching: asyncio.Task[None] | None = None
+        self.deliver, self.codec, self.limits, self.counters = deliver, codec, limits, counters
+        self.on_replaced = (
+            on_replaced  # is told of a server that is at another address now, or has started anew
+        )
+        self.endpoint, self.dialer = Endpoint(address, limits, self.connect, self.switch), Dialer(limits)
+        self.watch_task: asyncio.Task[None] | None = None
         self.log = PartLogger("registry", limits.log_every_us)
         self.version: int | None = known.version if known.entries else None
         self.addresses: dict[interface.BackendId, str] = dict(known.addresses)
-        self.born: dict[interface.BackendId, int] = {
+        self.start_times: dict[interface.BackendId, int] = {
             entry.backend: entry.started_us or 0 for entry in known.entries
         }
-        self.asked, self.open = asyncio.Event(), asyncio.Event()
-        self.strange, self.stranger = asyncio.Event(), None  # a server that only others name
-        self.heard_at = 0.0  # when the list last told something, or a watch was opened
-        self.slow = 0  # lists and lines in a row that were begun and did not come whole in time
-        tell(interface.RegistryUpdate("remembered", known.entries))
+        self.requested, self.watch_open = asyncio.Event(), asyncio.Event()
+        self.unlisted_seen, self.unlisted = asyncio.Event(), None  # a server that only others name
+        self.updated_at = 0.0  # when the list last told something, or a watch was opened
+        self.slow_reads = 0  # lists and lines in a row that were begun and did not come whole in time
+        deliver(interface.RegistryUpdate("remembered", known.entries))
 
     def follow(self) -> None:
         """Asks for the changes from now on; what was missed comes first."""
-        self.asked.set()
+        self.requested.set()
 
     async def run(self) -> None:
         """One watch after the other, each when it is asked for."""
-        await self.asked.wait()
-        beside = [asyncio.create_task(life) for life in (self.place.follow_moves(), self.renewals())]
+        await self.requested.wait()
+        beside = [
+            asyncio.create_task(life) for life in (self.endpoint.follow_moves(), self.renew_idle_watches())
+        ]
         try:
             while True:
-                self.asked.clear()
-                self.watching = asyncio.create_task(self.watch())
-                await asyncio.wait((self.watching,))
-                if self.place.standby:
+                self.requested.clear()
+                self.watch_task = asyncio.create_task(self.watch())
+                await asyncio.wait((self.watch_task,))
+                if self.endpoint.standby:
                     continue  # it goes on from the version known: nothing is missed
                 self.counters["registry.lost"] += 1
-                self.tell(interface.RegistryUpdate("lost", ()))
+                self.deliver(interface.RegistryUpdate("lost", ()))
                 # Guards the list where no turn can ask, as while a relay call is unsettled.
                 watch_reopen_us = int(self.limits.watch_reopen_us * random.uniform(0.8, 1.2))
                 try:
-                    await within(watch_reopen_us, self.asked.wait(), 0)
+                    await within(watch_reopen_us, self.requested.wait(), 0)
                 except TimeoutError:
                     self.counters["registry.unasked"] += 1
         finally:
-            await cancel_and_wait(*beside, self.watching)
-            self.place.close()
+            await cancel_and_wait(*beside, self.watch_task)
+            self.endpoint.close()
 
     def move(self, address: str) -> None:
         """Follows the registry to another place; the watch goes on there as soon as it is answered."""
-        self.place.move(address)
+        self.endpoint.move(address)
 
     def switch(self) -> None:
         """A connection that stands takes over, whatever the present one is waiting for."""
-        self.asked.set()
-        if self.watching:
-            self.watching.cancel()
+        self.requested.set()
+        if self.watch_task:
+            self.watch_task.cancel()
 
-    def named(self, backend: interface.BackendId) -> None:
+    def note_mention(self, backend: interface.BackendId) -> None:
         """Somebody else spoke of a server: one that the list never named shows that it moves on elsewhere."""
-        if backend not in self.born:
-            self.stranger = backend
-            self.strange.set()
+        if backend not in self.start_times:
+            self.unlisted = backend
+            self.unlisted_seen.set()
 
-    async def renewals(self) -> None:
+    async def renew_idle_watches(self) -> None:
         """Opens a watch anew that told nothing for long, or seems to be behind, before the old one is left.
 
         Guards against a watch that gives signs of life and nothing else while the list moves on elsewhere:
@@ -147,72 +151,74 @@
             self.limits.watch_renew_us,
             0.0,
         )
-        while await self.open.wait():
-            due = self.heard_at + every_us * random.uniform(0.8, 1.2) / 1e6
+        while await self.watch_open.wait():
+            due = self.updated_at + every_us * random.uniform(0.8, 1.2) / 1e6
             try:
                 async with asyncio.timeout(max(0.0, due - loop.time())):
-                    await self.strange.wait()
+                    await self.unlisted_seen.wait()
             except TimeoutError:
-                if loop.time() < self.heard_at + 0.8 * every_us / 1e6:
+                if loop.time() < self.updated_at + 0.8 * every_us / 1e6:
                     continue  # it has told something meanwhile
             else:
-                self.strange.clear()
+                self.unlisted_seen.clear()
                 await asyncio.sleep(limits.unlisted_us * random.uniform(0.5, 1.5) / 1e6)
-                if self.stranger in self.born or loop.time() < asked_at + 5 * limits.unlisted_us / 1e6:
+                if self.unlisted in self.start_times or loop.time() < asked_at + 5 * limits.unlisted_us / 1e6:
                     continue  # the list was a little behind only
-            if not self.open.is_set():
+            if not self.watch_open.is_set():
                 continue
             self.counters["registry.renewals"] += 1
-            self.born.setdefault(self.stranger, 0)  # one that no list names is asked for once
-            asked_at = self.heard_at = loop.time()
+            self.start_times.setdefault(self.unlisted, 0)  # one that no list names is asked for once
+            asked_at = self.updated_at = loop.time()
             try:
-                await self.place.renew()
+                await self.endpoint.renew()
                 slow = loop.time() - asked_at > limits.watch_renew_slow_us / 1e6
             except Exception:  # whatever it was: this life must not end
                 slow = True
             every_us = min(2 * every_us, limits.watch_renew_max_us) if slow else limits.watch_renew_us
 
-    async def begin(self, address: str) -> HttpConnection:
+    async def connect(self, address: str) -> HttpConnection:
         """A connection; its watch is answered, where there is a version to go on from."""
-        link = await self.dialer.open(address)
+        connection = await self.dialer.open(address)
         try:
             if self.version is not None:
-                await self.ask(link)
+                await self.ask(connection)
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        return link
+        return connection
 
-    async def ask(self, link: HttpConnection) -> None:
-        link.watch_from = self.version
+    async def ask(self, connection: HttpConnection) -> None:
+        connection.watch_from = self.version
         status = await within(
-            self.limits.list_us, self.call(link, f"{TARGET}?watch=1&from={self.version}"), self.limits.late_us
+            self.limits.list_us,
+            self.call(connection, f"{TARGET}?watch=1&from={self.version}"),
+            self.limits.late_us,
         )
         if status != 200:
             raise EOFError(f"status {status}")
 
     async def watch(self) -> None:
         """The life of a watch, from its call to its end."""
-        why, link = "", None
+        why, connection = "", None
         try:
             if self.version is None:  # nothing to go on from
                 await self.fetch()
-            link = await self.place.connect()
-            if link.watch_from is None:
-                await self.ask(link)
+            connection = await self.endpoint.connect()
+            if connection.watch_from is None:
+                await self.ask(connection)
             self.counters["registry.watches"] += 1
-            self.log.say("watch open", version=self.version)
-            self.heard_at = asyncio.get_running_loop().time()
-            self.open.set()
+            self.log.info("watch open", version=self.version)
+            self.updated_at = asyncio.get_running_loop().time()
+            self.watch_open.set()
             lines = LineSplitter(self.limits.list_bytes)
             async with Progress(self, self.limits.watch_idle_us) as progress:
-                while piece := await link.read_chunk():
+                while piece := await connection.read_chunk():
                     whole = 0
                     for line in lines.split(piece):
                         whole += 1
                         if line:
-                            self.take(self.codec.listing(line), link)
-                    progress.came(bool(whole), bool(lines.unfinished))
+                            self.take(self.codec.parse_registry_text(line), connection)
+                    progress.received(bool(whole), bool(lines.unfinished))
             raise EOFError("ended")
         except (*CONNECTION_ERRORS, WireError, LineTooLong) as error:
             why = f"{type(error).__name__} {error}"
@@ -220,31 +226,31 @@
             why = type(error).__name__
             self.log.failed("watch failed")
         finally:
-            self.open.clear()
-            if link:
-                link.close()
+            self.watch_open.clear()
+            if connection:
+                connection.close()
         self.log.rate_limited("watch lost", version=self.version, why=why)
 
     @staticmethod
-    async def call(link: HttpConnection, target: str) -> int:
-        await link.send("GET", target)
-        return await link.answer()
+    async def call(connection: HttpConnection, target: str) -> int:
+        await connection.send("GET", target)
+        return await connection.answer()
 
     async def fetch(self) -> None:
         """The whole list, once."""
-        link = await self.place.connect()
+        connection = await self.endpoint.connect()
         try:
-            status = await within(self.limits.list_us, self.call(link, TARGET), self.limits.late_us)
+            status = await within(self.limits.list_us, self.call(connection, TARGET), self.limits.late_us)
             async with Progress(self, self.limits.list_us) as progress:
-                body = await link.body(self.limits.list_bytes, progress.came)
+                body = await connection.body(self.limits.list_bytes, progress.received)
         finally:
-            link.close()
+            connection.close()
         if status != 200:
             raise EOFError(f"status {status}")
         self.counters["registry.lists"] += 1
-        self.take(self.codec.listing(body))
+        self.take(self.codec.parse_registry_text(body))
 
-    def take(self, listing: Listing, link: HttpConnection | None = None) -> None:
+    def take(self, listing: RegistryMessage, connection: HttpConnection | None = None) -> None:
         """One message of the registry."""
         self.counters["registry.messages"] += 1
         if listing.unreadable:
@@ -255,10 +261,10 @@
             self.counters["registry.too_many"] += unknown
             self.log.rate_limited("too many servers", left_out=unknown, most=self.limits.servers)
         behind = self.version is not None and listing.version < self.version
-        if link:
-            if behind and link.watch_from is not None and link.watch_from <= listing.version:
+        if connection:
+            if behind and connection.watch_from is not None and connection.watch_from <= listing.version:
                 return  # written before the watch that this one takes over from told more: that is known
-            link.watch_from, self.heard_at = None, asyncio.get_running_loop().time()
+            connection.watch_from, self.updated_at = None, asyncio.get_running_loop().time()
         if behind and not listing.whole:
             # What changed since cannot be told from it: the next watch begins with the whole list.
             self.version = None
@@ -266,20 +272,22 @@
         # An entry that can't be read must not pass for one left out, which would mean gone.
         kind = "whole" if listing.whole and not listing.unreadable and not unknown else "changes"
         try:
-            self.tell(interface.RegistryUpdate(kind, entries))
+            self.deliver(interface.RegistryUpdate(kind, entries))
         except InboxFull:
             self.version = None  # what was not taken in is told again with the whole list
             raise
-        self.version, self.slow = listing.version, 0
+        self.version, self.slow_reads = listing.version, 0
         for backend, _, _, _, born_us in entries:
             address = listing.addresses.get(backend, self.addresses.get(backend))
-            if address != self.addresses.get(backend) or (born_us and born_us != self.born.get(backend, 0)):
-                self.replaced(backend)
+            if address != self.addresses.get(backend) or (
+                born_us and born_us != self.start_times.get(backend, 0)
+            ):
+                self.on_replaced(backend)
             # The one longest unheard of stands first.
             if self.addresses.pop(backend, None) or address:
                 self.addresses[backend] = address
-            known_us = self.born.pop(backend, 0)
-            self.born[backend] = born_us or known_us
-        for known in (self.addresses, self.born):
+            known_us = self.start_times.pop(backend, 0)
+            self.start_times[backend] = born_us or known_us
+        for known in (self.addresses, self.start_times):
             while len(known) > 2 * self.limits.servers:
                 del known[next(iter(known))]
--- a/lapispass/net/resilient_socket.py
+++ b/lapispass/net/resilient_socket.py
@@ -13,7 +13,7 @@
 from contextlib import contextmanager
 from typing import Any
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.net import call_failures
 
 
@@ -23,7 +23,7 @@
     try:
         yield
     except OSError as error:
-        if error.errno not in momentary.EXHAUSTED:
+        if error.errno not in transient_errors.EXHAUSTED:
             raise
         call_failures.note(call, error)
         raise BlockingIOError(error.errno, error.strerror) from None
--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -12,11 +12,11 @@
 
 from lapispass import interface
 from lapispass.controller import Controller
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.core.interval_figures import IntervalFigures
 from lapispass.net import call_failures, log
 from lapispass.net.clock import Clock
-from lapispass.net.codec import MARKS, Codec
+from lapispass.net.codec import BARRIER_NUMBERS, Codec
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
 from lapispass.net.http import InboxFull
@@ -27,14 +27,14 @@
 from lapispass.net.probes import Probes
 from lapispass.net.process import run_to_completion
 from lapispass.net.registry import Registry
-from lapispass.net.relay import Calls, News
+from lapispass.net.relay import Calls, EventStream
 from lapispass.net.slice_report import SliceReport
 
 
-class Beside(Protocol):
-    """A further front that follows the turns, as `Service.beside`."""
+class AdditionalFront(Protocol):
+    """A further front that follows the turns, as `Service.additional_fronts`."""
 
-    def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
+    def turn_taken(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn was taken on these events; its orders are about to be carried out."""
 
     async def run(self) -> None:
@@ -48,21 +48,21 @@
         self.launch, self.limits, self.clock = launch, launch.limits, Clock()
         self.log, self.counters = PartLogger("service", self.limits.log_every_us), Counters()
         self.inbox: list[interface.Event] = []
-        self.wakes: dict[int, int] = {}  # token: when
-        self.news_came, self.ended = asyncio.Event(), asyncio.Event()
-        codec = Codec(launch.told, self.limits.id_bytes, launch.seed % MARKS)
+        self.timers: dict[int, int] = {}  # token: when
+        self.event_arrived, self.stop_requested = asyncio.Event(), asyncio.Event()
+        codec = Codec(launch.deployment, self.limits.id_bytes, launch.seed % BARRIER_NUMBERS)
         common = (codec, self.limits, self.counters)
         self.calls = Calls(launch.relay, *common)
-        self.news = News(launch.relay, self.calls, self.tell, *common)
-        self.probes = Probes(self.tell, *common)
-        self.registry = Registry(launch.registry, launch.known, self.tell, *common, self.probes.forget)
-        self.figures = IntervalFigures(self.limits.late_us, launch.told.unserved_limit_us // 2)
-        self.collectors = Collectors(self.tell, *common, self.figures)
-        self.controller = Controller(launch.told, launch.seed, self.clock.now())
+        self.event_stream = EventStream(launch.relay, self.calls, self.deliver, *common)
+        self.probes = Probes(self.deliver, *common)
+        self.registry = Registry(launch.registry, launch.known, self.deliver, *common, self.probes.forget)
+        self.figures = IntervalFigures(self.limits.late_us, launch.deployment.unserved_limit_us // 2)
+        self.collectors = Collectors(self.deliver, *common, self.figures)
+        self.controller = Controller(launch.deployment, launch.seed, self.clock.now())
         self.slice_report = SliceReport(self.figures.lines, self.controller.handover, self.limits)
-        self.beside: list[Beside] = []
+        self.additional_fronts: list[AdditionalFront] = []
 
-    def tell(self, event: interface.Event) -> None:
+    def deliver(self, event: interface.Event) -> None:
         """Takes an event for the next turn.
 
         Guards against an inbox without bound while no turn is taken: first sums are left out, and in the end
@@ -78,16 +78,16 @@
         if waiting >= 2 * self.limits.events and event != interface.RegistryUpdate("lost", ()):
             raise InboxFull(f"{waiting} events wait")
         if isinstance(event, interface.StoredOwner | interface.ServerReport):
-            self.registry.named(event.backend)
+            self.registry.note_mention(event.backend)
         self.inbox.append(event)
-        self.news_came.set()
+        self.event_arrived.set()
 
     def stop(self) -> None:
-        self.ended.set()
+        self.stop_requested.set()
 
     def print_counters(self) -> None:
         failed = call_failures.counted()
-        self.log.say("counters", **self.counters.fields(), **failed, **{"log.lost": lost()})
+        self.log.info("counters", **self.counters.fields(), **failed, **{"log.lost": lost()})
 
     async def run(self) -> None:
         """Serves until `stop()`; a fault in the module is raised."""
@@ -96,10 +96,10 @@
         tasks = [
             asyncio.create_task(life)
             for life in (
-                self.news.run(),
+                self.event_stream.run(),
                 self.registry.run(),
-                self.turns(),
-                self.ended.wait(),
+                self.run_turns(),
+                self.stop_requested.wait(),
                 LoopLag(self.limits.late_us, self.log, self.counters).run(),
                 IntervalReport(
                     self.figures,
@@ -109,15 +109,15 @@
                     self.collectors,
                     self.controller.progress,
                 ).run(),
-                *(front.run() for front in self.beside),
+                *(front.run() for front in self.additional_fronts),
             )
         ]
-        self.log.say("listening", name=self.launch.name, address=self.launch.listen)
+        self.log.info("listening", name=self.launch.name, address=self.launch.listen)
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 task.result()  # raises what ended it
-            self.log.say("ended")
+            self.log.info("ended")
         finally:
             self.collectors.stop_listening()
             self.calls.close()
@@ -137,16 +137,16 @@
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + self.limits.bind_us / 1e6
-        while not self.ended.is_set():
+        while not self.stop_requested.is_set():
             try:
                 await self.collectors.listen(self.launch.listen)
                 return True
             except (OSError, ValueError) as error:
-                if getattr(error, "errno", None) not in momentary.LOCAL or loop.time() >= until:
+                if getattr(error, "errno", None) not in transient_errors.LOCAL or loop.time() >= until:
                     raise BadStart(f"LB_LISTEN {self.launch.listen!r}: {error}") from None
             try:
                 async with asyncio.timeout(self.limits.retry_min_us / 1e6):
-                    await self.ended.wait()
+                    await self.stop_requested.wait()
             except TimeoutError:
                 pass
         return False
@@ -159,11 +159,16 @@
         old, self.launch = self.launch, replace(self.launch, relay=launch.relay, registry=launch.registry)
         rest = [
             part
-            for part in ("name", "listen", "told", "limits")
-            if getattr(old, part) != getattr(launch, part)
+            for part, field in (
+                ("name", "name"),
+                ("listen", "listen"),
+                ("told", "deployment"),
+                ("limits", "limits"),
+            )
+            if getattr(old, field) != getattr(launch, field)
         ]
         self.counters["service.reloads"] += 1
-        self.log.say(
+        self.log.info(
             "configuration read again",
             relay=launch.relay,
             registry=launch.registry,
@@ -171,29 +176,29 @@
         )
         if launch.relay != old.relay:
             self.calls.address = launch.relay
-            self.news.move(launch.relay)
+            self.event_stream.move(launch.relay)
         if launch.registry != old.registry:
             self.registry.move(launch.registry)
 
-    async def turns(self) -> None:
+    async def run_turns(self) -> None:
         """One turn after the other: waits, gathers, asks the module, carries out what it orders."""
         last = 0
         while True:
-            await self.due(last + self.launch.told.turn_interval_us)
+            await self.wait_for_turn(last + self.launch.deployment.turn_interval_us)
             last = now = self.clock.now()
             events, self.inbox = self.inbox, []
-            self.news_came.clear()
-            for token in [token for token, at in self.wakes.items() if at <= now]:
-                del self.wakes[token]
+            self.event_arrived.clear()
+            for token in [token for token, at in self.timers.items() if at <= now]:
+                del self.timers[token]
                 events.append(interface.TimerFired(token))
             orders = self.controller.turn(now, events)
-            self.note_time(now)
-            self.note_turn(now, events, orders)
-            for front in self.beside:
-                front.turned(events, orders)
+            self.log_delays(now)
+            self.count_turn(now, events, orders)
+            for front in self.additional_fronts:
+                front.turn_taken(events, orders)
             await self.carry_out(orders)
 
-    def note_turn(
+    def count_turn(
         self, now: int, events: Sequence[interface.Event], orders: Sequence[interface.Order]
     ) -> None:
         """Counts what a turn was told and ordered."""
@@ -206,7 +211,7 @@
             self.figures.order(now, order)
         self.slice_report.turned(now)
 
-    def note_time(self, began: int) -> None:
+    def log_delays(self, began: int) -> None:
         """Logs what a reader of the log must know of time: a turn that took long, a wall clock that was
         stepped. Nothing is decided by it."""
         if (took_us := self.clock.now() - began) > self.limits.late_us:
@@ -216,14 +221,14 @@
             self.counters["service.clock_steps"] += 1
             self.log.warn("wall clock stepped", by_us=step_us)
 
-    async def due(self, earliest: int) -> None:
+    async def wait_for_turn(self, earliest: int) -> None:
         """Until there is news or a wake-up is due, but no sooner than the shortest interval between turns."""
-        entered, wake = self.clock.now(), min(self.wakes.values(), default=None)
+        entered, wake = self.clock.now(), min(self.timers.values(), default=None)
         if not self.inbox:
             wait = None if wake is None else max(0, wake - self.clock.now()) / 1e6
             try:
                 async with asyncio.timeout(wait):
-                    await self.news_came.wait()
+                    await self.event_arrived.wait()
             except TimeoutError:
                 pass
         now = self.clock.now()
@@ -233,7 +238,7 @@
         if self.clock.now() - expected > self.limits.late_us:
             self.counters["service.late_turns"] += 1
             self.log.rate_limited("turn late", late_us=self.clock.now() - expected)
-            await asyncio.sleep(self.launch.told.turn_interval_us / 1e6)
+            await asyncio.sleep(self.launch.deployment.turn_interval_us / 1e6)
 
     async def carry_out(self, orders: list[interface.Order]) -> None:
         """The turn's orders; those for proxies are one relay call, settled before the next turn."""
@@ -241,9 +246,9 @@
         for order in orders:
             match order:
                 case interface.LogMessage(text):
-                    self.log.say("mode", text=text)
+                    self.log.info("mode", text=text)
                 case interface.SetTimer(token, at_us):
-                    self.wakes[token] = at_us
+                    self.timers[token] = at_us
                 case interface.Probe(backend):
                     self.probes.start(backend, self.registry.addresses.get(backend))
                 case interface.WatchRegistry():
@@ -277,14 +282,14 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.stop)
     loop.add_signal_handler(signal.SIGUSR1, service.print_counters)
-    reloads = asyncio.create_task(follow(service, environment, replaced, joined))
+    reloads = asyncio.create_task(reload_on_request(service, environment, replaced, joined))
     try:
         await service.run()
     finally:
         reloads.cancel()
 
 
-async def follow(
+async def reload_on_request(
     service: Service,
     environment: Mapping[str, str],
     replaced: asyncio.Event,
--- a/lapispass/operator/places.py
+++ b/lapispass/operator/line_numbers.py
@@ -13,7 +13,7 @@
 )
 
 
-def lines_of(text: str) -> dict[str, int]:
+def line_numbers(text: str) -> dict[str, int]:
     """The line, from 1, of each field by its path, as in `gate.listen` or `node[2].address` (`node` is the
     first).
 
--- a/lapispass/operator/read.py
+++ b/lapispass/operator/read.py
@@ -9,11 +9,11 @@
 
 from google.protobuf import text_format
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.core.shared_types import Bounds, ConnectionClass, DrainTerms
 from lapispass.interface import Deployment, RequestClass
+from lapispass.operator.line_numbers import line_numbers
 from lapispass.operator.operator_pb2 import Gate, Node, Operator
-from lapispass.operator.places import lines_of
 from lapispass.retry import retry_blocking
 
 FILE_BYTES = 4 << 20
@@ -25,11 +25,11 @@
 class BadFile(Exception):
     """The operator file can't be used; the text has all findings, one a line, as `file:line: field: why`.
 
-    `may_pass` where it could not be read just now.
+    `is_transient` where it could not be read just now.
     """
 
-    def __init__(self, findings: Iterable[str], may_pass: bool = False) -> None:
-        self.findings, self.may_pass = tuple(findings), may_pass
+    def __init__(self, findings: Iterable[str], is_transient: bool = False) -> None:
+        self.findings, self.is_transient = tuple(findings), is_transient
         super().__init__("\n".join(self.findings))
 
 
@@ -38,7 +38,7 @@
     """A file as it was read."""
 
     path: str
-    told: Operator
+    settings: Operator
     lines: dict[str, int]
 
     def at(self, field: str, why: str) -> str:
@@ -51,7 +51,7 @@
 
 def read_at_start(path: str | Path) -> Source:
     """As `read`, which is tried again for a while where the file cannot be read."""
-    return retry_blocking(lambda: read(path), lambda error: isinstance(error, BadFile) and error.may_pass)
+    return retry_blocking(lambda: read(path), lambda error: isinstance(error, BadFile) and error.is_transient)
 
 
 def read(path: str | Path) -> Source:
@@ -62,17 +62,17 @@
             raise BadFile([f"{where}:1: file: over {FILE_BYTES} bytes"])
         text = Path(path).read_bytes().decode("utf-8")
     except OSError as error:
-        raise BadFile([f"{where}:1: file: {error.strerror}"], error.errno in momentary.FILE) from None
+        raise BadFile([f"{where}:1: file: {error.strerror}"], error.errno in transient_errors.FILE) from None
     except UnicodeDecodeError as error:
         raise BadFile([f"{where}:1: file: byte {error.start} is no UTF-8"]) from None
-    told = Operator()
+    settings = Operator()
     try:
-        text_format.Parse(text, told)
+        text_format.Parse(text, settings)
     except text_format.ParseError as error:
         field = re.search(r'(?:named|field|value for) "([\w.]+)"', str(error))
         line = error.GetLine() or 1
         raise BadFile([f"{where}:{line}: {field[1] if field else 'file'}: {error}"]) from None
-    source = Source(where, told, lines_of(text))
+    source = Source(where, settings, line_numbers(text))
     if findings := list(check(source)):
         raise BadFile(findings)
     return source
@@ -80,10 +80,10 @@
 
 def check(source: Source) -> Iterator[str]:
     """What no reader of the file could use."""
-    told, at = source.told, source.at
+    settings, at = source.settings, source.at
     seen: set[str] = set()
-    for place, kind in enumerate(told.connection_class):
-        field = f"connection_class[{place}]" if place else "connection_class"
+    for index, kind in enumerate(settings.connection_class):
+        field = f"connection_class[{index}]" if index else "connection_class"
         if not NAME.match(kind.name):
             yield at(f"{field}.name", f"{kind.name!r} is no name")
         if kind.name in seen:
@@ -91,20 +91,20 @@
         seen.add(kind.name)
         if not kind.path_prefix.startswith("/"):
             yield at(f"{field}.path_prefix", f"{kind.path_prefix!r} does not begin with /")
-        for earlier in told.connection_class[:place]:
+        for earlier in settings.connection_class[:index]:
             if earlier.path_prefix and kind.path_prefix.startswith(earlier.path_prefix):
                 yield at(f"{field}.path_prefix", f"never reached: {earlier.name!r} takes all of it")
         if kind.HasField("benefit") and not 0 <= kind.benefit < 1e6:
             yield at(f"{field}.benefit", f"{kind.benefit} is not from 0 to a million")
-    nodes = told.nodes
+    nodes = settings.nodes
     if nodes.HasField("connections") and not nodes.connections:
         yield at("nodes.connections", "0 would refuse everyone")
     if nodes.HasField("new_per_s") and not 0 < nodes.new_per_s < 1e6:
         yield at("nodes.new_per_s", f"{nodes.new_per_s} is not above 0 and under a million")
     if nodes.HasField("cold_share") and not 0 < nodes.cold_share <= 1:
         yield at("nodes.cold_share", f"{nodes.cold_share} is not above 0 and at most 1")
-    drain = told.drain
-    terms = drain_terms(told)
+    drain = settings.drain
+    terms = drain_terms(settings)
     if terms.grace_us <= terms.margin_us:
         yield at(
             "drain.margin_ms" if drain.HasField("margin_ms") else "drain.grace_ms",
@@ -112,19 +112,19 @@
         )
     if terms.come_back_least_us >= terms.come_back_most_us:
         yield at("drain.come_back_least_ms", "not under come_back_most_ms")
-    yield from check_gate(source) if told.HasField("gate") else ()
-    if told.HasField("gates"):
-        if not address(told.gates.listen):
-            yield at("gates.listen", f"{told.gates.listen!r} is no host:port")
-        if not told.connection_class:
+    yield from check_gate(source) if settings.HasField("gate") else ()
+    if settings.HasField("gates"):
+        if not address(settings.gates.listen):
+            yield at("gates.listen", f"{settings.gates.listen!r} is no host:port")
+        if not settings.connection_class:
             yield at("connection_class", "no class: gates could not be planned for")
-        if not told.gates.name:
+        if not settings.gates.name:
             yield at("gates.name", "no gate may join")
         names: set[str] = set()
-        for place, name in enumerate(told.gates.name):
+        for index, name in enumerate(settings.gates.name):
             if not NAME.match(name) or name in names:
                 why = "stands twice" if NAME.match(name) else "is no name"
-                yield at(f"gates.name[{place}]", f"{name!r} {why}")
+                yield at(f"gates.name[{index}]", f"{name!r} {why}")
             names.add(name)
     yield from check_alone(source)
     yield from check_nodes(source)
@@ -132,20 +132,22 @@
 
 def check_alone(source: Source) -> Iterator[str]:
     """A controller without the platform, and its listener for xDS clients."""
-    told, at, alone = source.told, source.at, source.told.alone
-    if told.HasField("xds"):
-        if not address(told.xds.listen):
-            yield at("xds.listen", f"{told.xds.listen!r} is no host:port")
-        if told.xds.HasField("new_per_s") and not 0 < told.xds.new_per_s < 1e6:
-            yield at("xds.new_per_s", f"{told.xds.new_per_s} is not above 0 and under a million")
+    settings, at, alone = source.settings, source.at, source.settings.alone
+    if settings.HasField("xds"):
+        if not address(settings.xds.listen):
+            yield at("xds.listen", f"{settings.xds.listen!r} is no host:port")
+        if settings.xds.HasField("new_per_s") and not 0 < settings.xds.new_per_s < 1e6:
+            yield at("xds.new_per_s", f"{settings.xds.new_per_s} is not above 0 and under a million")
         for field in ("clients", "burst", "late_ms"):
-            if told.xds.HasField(field) and not getattr(told.xds, field):
+            if settings.xds.HasField(field) and not getattr(settings.xds, field):
                 yield at(f"xds.{field}", "0 is no bound")
-        if told.xds.HasField("tls") and not (told.xds.tls.certificate_file and told.xds.tls.key_file):
+        if settings.xds.HasField("tls") and not (
+            settings.xds.tls.certificate_file and settings.xds.tls.key_file
+        ):
             yield at("xds.tls", "certificate_file and key_file belong together")
-    if not told.HasField("alone"):
+    if not settings.HasField("alone"):
         return
-    if not told.HasField("xds"):
+    if not settings.HasField("xds"):
         yield at("alone", "nobody could be told: there is no xds")
     if alone.HasField("shared"):
         if not NAME.match(alone.shared.name):
@@ -158,14 +160,14 @@
         yield at("alone.store_file", "missing: without shared the assignments are kept here")
     if not 0 < alone.slices <= 1 << 16:
         yield at("alone.slices", f"{alone.slices} is not from 1 to {1 << 16}")
-    if not told.node:
+    if not settings.node:
         yield at("node", "a controller without the platform needs its nodes here")
     names = [kind.name for kind in alone.visit_class]
     if not names:
         yield at("alone.visit_class", "no class of visits")
-    for place, kind in enumerate(alone.visit_class):
-        field = f"alone.visit_class[{place}]" if place else "alone.visit_class"
-        if not NAME.match(kind.name) or kind.name in names[:place]:
+    for index, kind in enumerate(alone.visit_class):
+        field = f"alone.visit_class[{index}]" if index else "alone.visit_class"
+        if not NAME.match(kind.name) or kind.name in names[:index]:
             yield at(f"{field}.name", f"{kind.name!r} is no name, or stands twice")
         if not 0 < kind.agreed_ms <= kind.patience_ms:
             yield at(f"{field}.agreed_ms", "not above 0 and at most patience_ms")
@@ -177,7 +179,7 @@
 
 
 def check_gate(source: Source) -> Iterator[str]:
-    gate, at = source.told.gate, source.at
+    gate, at = source.settings.gate, source.at
     if not NAME.match(gate.name):
         yield at("gate.name", f"{gate.name!r} is no name")
     for field in ("listen", "controller"):
@@ -186,7 +188,7 @@
             yield at(f"gate.{field}", f"{value!r} is no host:port")
     if not 0 < gate.slices <= 1 << 20:
         yield at("gate.slices", f"{gate.slices} is not from 1 to {1 << 20}")
-    if not source.told.connection_class:
+    if not source.settings.connection_class:
         yield at("connection_class", "no class: every connection would be refused")
     for field in (
         "connections",
@@ -204,17 +206,17 @@
             yield at(f"gate.{field}", "0 is no bound")
     if gate.HasField("new_per_s") and not 0 < gate.new_per_s < 1e6:
         yield at("gate.new_per_s", f"{gate.new_per_s} is not above 0 and under a million")
-    if gate.controller and source.told.node:
+    if gate.controller and source.settings.node:
         yield at("node", "nodes come from the controller; only a gate that stands alone names them")
-    if not gate.controller and not source.told.node:
+    if not gate.controller and not source.settings.node:
         yield at("node", "a gate without a controller needs its nodes here")
 
 
 def check_nodes(source: Source) -> Iterator[str]:
-    told, at = source.told, source.at
+    settings, at = source.settings, source.at
     nodes: set[str] = set()
-    for place, node in enumerate(told.node):
-        field = f"node[{place}]" if place else "node"
+    for index, node in enumerate(settings.node):
+        field = f"node[{index}]" if index else "node"
         if not NAME.match(node.id) or node.id in nodes:
             yield at(f"{field}.id", f"{node.id!r} {'stands twice' if node.id in nodes else 'is no name'}")
         nodes.add(node.id)
@@ -223,9 +225,9 @@
         if node.HasField("weight") and not 0 <= node.weight < 1e6:
             yield at(f"{field}.weight", f"{node.weight} is not from 0 to a million")
     slices: set[int] = set()
-    for place, line in enumerate(told.line):
-        field = f"line[{place}]" if place else "line"
-        if line.slice >= max(1, told.gate.slices) or line.slice in slices:
+    for index, line in enumerate(settings.line):
+        field = f"line[{index}]" if index else "line"
+        if line.slice >= max(1, settings.gate.slices) or line.slice in slices:
             yield at(f"{field}.slice", f"slice {line.slice} stands twice or is not under gate.slices")
         slices.add(line.slice)
         if line.owner not in nodes:
@@ -238,7 +240,7 @@
     return match is not None and 0 <= int(match[1]) < 65536
 
 
-def classes(told: Operator) -> tuple[ConnectionClass, ...]:
+def classes(settings: Operator) -> tuple[ConnectionClass, ...]:
     return tuple(
         ConnectionClass(
             kind.name,
@@ -248,13 +250,13 @@
             kind.benefit if kind.HasField("benefit") else 1.0,
             kind.start_cost_milli / 1000 if kind.HasField("start_cost_milli") else 0.05,
         )
-        for kind in told.connection_class
+        for kind in settings.connection_class
     )
 
 
-def bounds(told: Operator) -> Bounds:
+def bounds(settings: Operator) -> Bounds:
     """What a node takes, or the usual where the file is silent."""
-    given, usual = told.nodes, Bounds()
+    given, usual = settings.nodes, Bounds()
     return Bounds(
         connections=given.connections if given.HasField("connections") else usual.connections,
         new_per_s=given.new_per_s if given.HasField("new_per_s") else usual.new_per_s,
@@ -264,8 +266,8 @@
     )
 
 
-def drain_terms(told: Operator) -> DrainTerms:
-    given, usual = told.drain, DrainTerms()
+def drain_terms(settings: Operator) -> DrainTerms:
+    given, usual = settings.drain, DrainTerms()
 
     def us(field: str) -> int:
         name = f"{field}_ms"
@@ -275,9 +277,9 @@
     return DrainTerms(us("grace"), us("margin"), us("come_back_least"), us("come_back_most"))
 
 
-def alone(told: Operator) -> Deployment:
+def alone(settings: Operator) -> Deployment:
     """What a controller without the platform goes by; the channel is as wide as streams of its own are."""
-    given = told.alone
+    given = settings.alone
 
     def us(field: str, usual_ms: int) -> int:
         return MS * (getattr(given, field) if given.HasField(field) else usual_ms)
@@ -289,7 +291,7 @@
             )
             for kind in given.visit_class
         ),
-        zones=tuple(sorted({node.zone for node in told.node})),
+        zones=tuple(sorted({node.zone for node in settings.node})),
         proxies=2,  # the store and desk; and whoever acts on what an earlier life has told, for one lease
         slices=given.slices,
         lease_us=us("lease_ms", 3000),
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -44,7 +44,7 @@
 
     def open_store(self, source: Source) -> None:
         """Nothing is ours until the service says so."""
-        shared = source.told.alone.shared
+        shared = source.settings.alone.shared
         weight = shared.weight if shared.HasField("weight") else 1.0
         ttl_s = max(1, shared.session_s) if shared.HasField("session_s") else 3
         self.name, self.service = shared.name, Service(shared.coordination)
@@ -95,7 +95,7 @@
 
     def stop_all(self) -> None:
         for number in sorted(self.takeover.acting):
-            self.tell(interface.SliceGrant(number, False))
+            self.deliver(interface.SliceGrant(number, False))
         self.takeover.acting.clear()
 
     def may_let_write(self, now: int) -> bool:
@@ -185,10 +185,10 @@
             holder = before[member.name]
             self.gone_at[holder] = now
             if (number := self.numbers.pop(holder, None)) is not None:
-                self.tell(interface.ProxyLeft(number))
+                self.deliver(interface.ProxyLeft(number))
                 self.xds_server.proxy_numbers.release(now, number)
             self.counters["peers.left"] += 1
-            self.log.say("controller gone", holder=holder)
+            self.log.info("controller gone", holder=holder)
         for member in come:
             holder = f"{member.name}/{member.boot}"
             if member.name == self.name:
@@ -196,9 +196,9 @@
             number = self.numbers[holder] = self.xds_server.proxy_numbers.allocate(now)
             self.peer_marks[member.name] = -1
             self.peer_answers.pop(member.name, None)
-            self.tell(interface.ProxyJoined(number, True, "", None))
+            self.deliver(interface.ProxyJoined(number, True, "", None))
             self.counters["peers.joined"] += 1
-            self.log.say("controller there", holder=holder)
+            self.log.info("controller there", holder=holder)
         horizon = now - 100 * self.deployment.lease_us
         self.members.forget(horizon)
         self.gone_at = {holder: at for holder, at in self.gone_at.items() if at > horizon}
@@ -247,7 +247,7 @@
             ]
             if ready:
                 self.peer_marks[name] = ready[-1][1]
-                self.tell(interface.BarrierAck(number, ready[-1][0], self.clock.now() - ready[-1][1]))
+                self.deliver(interface.BarrierAck(number, ready[-1][0], self.clock.now() - ready[-1][1]))
 
     async def looks(self) -> None:
         """Claims, releases, and what others may count on."""
@@ -270,7 +270,7 @@
                 self.leaving,
             )
             for number in work.stop:
-                self.tell(interface.SliceGrant(number, False))
+                self.deliver(interface.SliceGrant(number, False))
             for number in work.start:
                 self.counters["peers.slices_taken"] += 1
                 self.begin(number)
@@ -363,7 +363,7 @@
             self.show(shown, mark)
             self.counters["host.commits"] += bool(slices)
             self.marks.append((mark, revision, self.clock.now()))
-            self.tell(interface.BarrierAck(STORE_PROXY, mark, 0))
+            self.deliver(interface.BarrierAck(STORE_PROXY, mark, 0))
             self.answer_marks()
 
     def out_key(self, node: str) -> str:
@@ -383,17 +383,17 @@
             return
         for number in numbers:
             if number in self.takeover.acting:
-                self.tell(interface.SliceGrant(number, False))
+                self.deliver(interface.SliceGrant(number, False))
                 self.begin(number)
 
     def begin(self, number: int) -> None:
         """Hands a slice of ours to the module, with its owner."""
-        self.tell(interface.SliceGrant(number, True))
+        self.deliver(interface.SliceGrant(number, True))
         record = self.takeover.records[number]
         # Where writes are shut an earlier owner may still hold some: the module begins with an empty table
         # and its own gate, while readers go on with what stands.
         if record.owner and not record.shut:
-            self.tell(interface.StoredOwner(number, record.owner))
+            self.deliver(interface.StoredOwner(number, record.owner))
 
     def as_records(self, changes: Sequence[tables.TableChange]) -> dict[int, Record]:
         """A turn's changes of slices that are ours."""
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -74,7 +74,7 @@
             return
         self.made = result.revision
         self.session.granted(sent, lease, self.ttl_s * 1_000_000)
-        self.log.say("session begun", holder=self.holder)
+        self.log.info("session begun", holder=self.holder)
 
     async def renew(self, sent: int) -> None:
         """Has the lease renewed; it may be over at the service."""
--- a/lapispass/xds/closing_server.py
+++ b/lapispass/xds/closing_server.py
@@ -18,7 +18,7 @@
 from grpclib.protocol import H2Protocol
 from grpclib.server import Server
 
-from lapispass.core import momentary
+from lapispass.core import transient_errors
 from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries
 from lapispass.net.counters import Counters
 from lapispass.net.log import PartLogger
@@ -79,7 +79,7 @@
             try:
                 return await self.start(sock=listener, ssl=tls)
             except OSError as error:
-                if error.errno not in momentary.LOCAL or loop.time() >= until:
+                if error.errno not in transient_errors.LOCAL or loop.time() >= until:
                     raise
             await asyncio.sleep(START.pause_s)
 
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -39,18 +39,18 @@
     """Hosts one controller: `await Host(source, seed).run()` serves until `stop()` is called."""
 
     def __init__(self, source: Source, seed: int) -> None:
-        if not source.told.HasField("alone"):
+        if not source.settings.HasField("alone"):
             raise BadFile(
                 [source.at("alone", "missing: the file does not describe a controller without the platform")]
             )
         self.source, self.clock, self.counters = source, Clock(), Counters()
         self.log = PartLogger("host", 1_000_000)
-        self.deployment = operator.alone(source.told)
+        self.deployment = operator.alone(source.settings)
         self.limits = limits = Limits()
         self.inbox: list[interface.Event] = []
         self.timers: dict[int, int] = {}
         self.has_events, self.stopped = asyncio.Event(), asyncio.Event()
-        self.probes = Probes(self.tell, Codec(self.deployment, limits.id_bytes), limits, self.counters)
+        self.probes = Probes(self.deliver, Codec(self.deployment, limits.id_bytes), limits, self.counters)
         self.controller = Controller(self.deployment, seed, self.clock.now())
         self.xds_server = create_xds_server(
             source, self, self.clock.now, self.counters, self.deployment, seed
@@ -67,7 +67,7 @@
 
         If the disk fails for a moment, opening is retried for a while.
         """
-        path = Path(source.path).parent / source.told.alone.store_file
+        path = Path(source.path).parent / source.settings.alone.store_file
         try:
             self.store = retry_blocking(
                 lambda: Assignments(path, self.deployment.slices), self.may_retry_open, STORE_OPEN_RETRY
@@ -89,19 +89,19 @@
 
     def load_nodes(self, source: Source) -> None:
         """Reports the nodes of the file to the controller, as a complete list."""
-        self.nodes = {node.id: node for node in source.told.node}
+        self.nodes = {node.id: node for node in source.settings.node}
         entries = []
-        for node in source.told.node:
+        for node in source.settings.node:
             weight = node.weight if node.HasField("weight") else None
             born_us = node.started_unix_ms * 1000 or None
             entries.append(interface.RegistryEntry(node.id, node.zone, STATES[node.state], weight, born_us))
         self.inbox.append(interface.RegistryUpdate("whole", tuple(entries)))
         self.xds_server.addresses = {
-            node.id: tables.Address(node.address, node.zone) for node in source.told.node
+            node.id: tables.Address(node.address, node.zone) for node in source.settings.node
         }
         self.has_events.set()
 
-    def tell(self, event: interface.Event) -> None:
+    def deliver(self, event: interface.Event) -> None:
         """Adds an event to the next turn. Load events are dropped while too many events wait."""
         if len(self.inbox) > 20_000 and isinstance(event, interface.ServerReport | interface.RequestReport):
             self.counters["host.events_left_out"] += 1
@@ -113,7 +113,7 @@
         self.stopped.set()
 
     def print_counters(self) -> None:
-        self.log.say(
+        self.log.info(
             "counters",
             clients=len(self.xds_server.clients),
             **self.counters.fields(),
@@ -129,8 +129,8 @@
         try:
             source = operator.read(self.source.path)
             if (
-                not source.told.HasField("alone")
-                or operator.alone(source.told).slices != self.deployment.slices
+                not source.settings.HasField("alone")
+                or operator.alone(source.settings).slices != self.deployment.slices
             ):
                 raise BadFile([source.at("alone.slices", "a change needs a restart")])
             if self.xds_server.tls is not None:
@@ -138,9 +138,9 @@
                 load_tls_keys(tls_context(source) or self.xds_server.tls, source)
                 load_tls_keys(self.xds_server.tls, source)
             self.load_nodes(source)
-            self.log.say("operator file read again", nodes=len(self.nodes))
+            self.log.info("operator file read again", nodes=len(self.nodes))
         except BadFile as error:
-            if error.may_pass:
+            if error.is_transient:
                 return False
             self.counters["host.reloads_refused"] += 1
             for finding in error.findings:
@@ -205,7 +205,7 @@
         events, orders = self.decide()
         await self.commit(orders)
         self.execute_orders(orders)
-        self.xds_server.turned(events, orders)
+        self.xds_server.turn_taken(events, orders)
 
     async def commit(self, orders: Sequence[interface.Order]) -> None:
         """Writes a turn's assignments, and retries until the disk takes them.
@@ -235,11 +235,11 @@
         for order in orders:
             match order:
                 case interface.LogMessage(text):
-                    self.log.say("mode", text=text)
+                    self.log.info("mode", text=text)
                 case interface.SetTimer(token, at_us):
                     self.timers[token] = at_us
                 case interface.Barrier(number):
-                    self.tell(interface.BarrierAck(STORE_PROXY, number, 0))
+                    self.deliver(interface.BarrierAck(STORE_PROXY, number, 0))
                 case interface.Probe(backend):
                     node = self.nodes.get(str(backend))
                     self.probes.start(backend, node.address if node is not None else None)
--- a/lapispass/xds/platform_server.py
+++ b/lapispass/xds/platform_server.py
@@ -15,16 +15,16 @@
 
 
 class PlatformXdsServer:
-    """The xDS server as an additional front of the platform service, for `Service.beside`."""
+    """The xDS server as an additional front of the platform service, for `Service.additional_fronts`."""
 
     def __init__(self, service: Service, source: Source) -> None:
-        deployment = service.launch.told
+        deployment = service.launch.deployment
         self.service = service
         self.xds_server: XdsServer = create_xds_server(
             source, service, service.clock.now, service.counters, deployment, service.launch.seed
         )
 
-    def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
+    def turn_taken(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Publishes a turn.
 
         Addresses come from the registry; a node that is no longer listed there is no endpoint any more.
@@ -35,7 +35,7 @@
                 str(node): tables.Address(address, zones.get(str(node), ""))
                 for node, address in self.service.registry.addresses.items()
             }
-        self.xds_server.turned(events, orders)
+        self.xds_server.turn_taken(events, orders)
 
     async def run(self) -> None:
         await self.xds_server.run()
--- a/lapispass/xds/xds_server.py
+++ b/lapispass/xds/xds_server.py
@@ -45,7 +45,7 @@
 class EventSink(Protocol):
     """Runs the controller's turns, and takes the events for them."""
 
-    def tell(self, event: interface.Event) -> None:
+    def deliver(self, event: interface.Event) -> None:
         """Adds an event to the next turn."""
 
 
@@ -94,7 +94,7 @@
 
     # following the controller's turns
 
-    def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
+    def turn_taken(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """Publishes the changes of a turn."""
         changes, barrier = self.snapshot.apply_turn(events, orders, self.addresses)
         self.publish(self.snapshot.tables, changes, barrier)
@@ -169,7 +169,7 @@
         )
         server = ClosingServer([self], config=pings)
         self.address = await server.listen(self.listen, self.tls, self.log, self.counters)
-        self.log.say("listening for xDS clients", address=self.address, tls=self.tls is not None)
+        self.log.info("listening for xDS clients", address=self.address, tls=self.tls is not None)
         detecting = asyncio.get_running_loop().create_task(self.detect_pauses())
         try:
             await server.wait_closed()
@@ -311,13 +311,13 @@
             self.departed.append((until, step.left_acked_turn))
             left = interface.ProxyLeft(step.left)
             if step.left_delay_us:
-                asyncio.get_running_loop().call_later(step.left_delay_us / 1e6, self.event_sink.tell, left)
+                asyncio.get_running_loop().call_later(step.left_delay_us / 1e6, self.event_sink.deliver, left)
             else:
-                self.event_sink.tell(left)
+                self.event_sink.deliver(left)
         if step.joined is not None:
-            self.event_sink.tell(interface.ProxyJoined(step.joined, True, client.zone, None))
+            self.event_sink.deliver(interface.ProxyJoined(step.joined, True, client.zone, None))
         for number, barrier, took_us in step.acked_barriers:
-            self.event_sink.tell(interface.BarrierAck(number, barrier, took_us))
+            self.event_sink.deliver(interface.BarrierAck(number, barrier, took_us))
 
     def handle_message(self, client: Client, message: Message) -> None:
         """Handles a client's message: an answer to the last response of a kind, and its subscription."""
@@ -385,7 +385,7 @@
                 events = codec.load_events(report, zone, nodes, self.deployment.slices, self.classes)
                 self.counters["xds.reports"] += 1
                 for event in events:
-                    self.event_sink.tell(event)
+                    self.event_sink.deliver(event)
         except (StreamTerminatedError, h2.exceptions.ProtocolError, ConnectionError):
             self.counters["xds.broken"] += 1
         finally:
@@ -394,7 +394,7 @@
 
 def tls_context(source: Source) -> ssl.SSLContext | None:
     """The TLS settings of the operator file, or None; a file that cannot be read is reported by its field."""
-    settings = source.told.xds
+    settings = source.settings.xds
     if not settings.HasField("tls"):
         return None
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
@@ -409,7 +409,7 @@
 
     Open connections keep their keys; new ones use the loaded keys.
     """
-    folder, tls = Path(source.path).parent, source.told.xds.tls
+    folder, tls = Path(source.path).parent, source.settings.xds.tls
     field = "xds.tls.certificate_file"
     try:
         context.load_cert_chain(folder / tls.certificate_file, folder / tls.key_file)
@@ -433,7 +433,7 @@
 
     The proxy numbers of its clients follow those of the deployment's proxies.
     """
-    settings = source.told.xds
+    settings = source.settings.xds
     defaults = ClientLimits(deployment.lease_us)
     limits = defaults._replace(
         ack_timeout_us=settings.late_ms * 1000 if settings.HasField("late_ms") else defaults.ack_timeout_us,
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -22,14 +22,14 @@
 from fleet import MS, deployment
 
 from lapispass import interface
-from lapispass.net.codec import Codec, Listing
+from lapispass.net.codec import Codec, RegistryMessage
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
 from lapispass.net.http import HttpConnection
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
 from lapispass.net.registry import Registry
-from lapispass.net.relay import Calls, News
+from lapispass.net.relay import Calls, EventStream
 
 QUICK = replace(
     Limits(),
@@ -58,7 +58,7 @@
 )
 CODEC = Codec(SMALL_DEPLOYMENT, 256)
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "Ready", "size": 1.0}
-EMPTY_LISTING = Listing(0, False, (), {}, 0)
+EMPTY_LISTING = RegistryMessage(0, False, (), {}, 0)
 
 
 class HeldDials:
@@ -266,13 +266,13 @@
     events: list[interface.Event] = []
     relay.snapshot = list(SNAPSHOT_LINES)
     calls = Calls(relay.address, CODEC, QUICK, Counters())
-    news = News(relay.address, calls, events.append, CODEC, QUICK, Counters())
-    async with running(news.run()):
+    stream = EventStream(relay.address, calls, events.append, CODEC, QUICK, Counters())
+    async with running(stream.run()):
         await until(lambda: len(events) >= 5)
         assert events == SNAPSHOT_EVENTS
         events.clear()
         try:
-            yield news, events
+            yield stream, events
         finally:
             calls.close()
 
@@ -312,7 +312,7 @@
 
 
 @asynccontextmanager
-async def following(book: LoopbackServer, known: Listing = EMPTY_LISTING, limits: Limits = QUICK):
+async def following(book: LoopbackServer, known: RegistryMessage = EMPTY_LISTING, limits: Limits = QUICK):
     """A registry client that follows the list, and the events that it has emitted."""
     events: list[interface.Event] = []
     registry = Registry(book.address, known, events.append, CODEC, limits, Counters())
@@ -322,7 +322,7 @@
 
 
 S1 = interface.RegistryEntry("s-1", "a", "ready", 1.0, None)
-KNOWN = Listing(5, True, (S1,), {"s-1": "127.0.0.1:9"}, 0)
+KNOWN = RegistryMessage(5, True, (S1,), {"s-1": "127.0.0.1:9"}, 0)
 LOST = interface.RegistryUpdate("lost", ())
 
 
@@ -375,8 +375,8 @@
         registry=registry,
         relay=relay,
         seed=1,
-        known=CODEC.listed(listing(1, *({**MEMBER, "id": f"s-{n}"} for n in (1, 2)))),
-        told=replace(SMALL_DEPLOYMENT, probes_allowed=False, subscribes_to_registry=True),
+        known=CODEC.parse_registry_message(listing(1, *({**MEMBER, "id": f"s-{n}"} for n in (1, 2)))),
+        deployment=replace(SMALL_DEPLOYMENT, probes_allowed=False, subscribes_to_registry=True),
         limits=QUICK,
     )
     return Launch(**{**values, **changes})
--- a/tests/planted_controller.py
+++ b/tests/planted_controller.py
@@ -9,7 +9,7 @@
 import time
 
 from lapispass.net import service
-from lapispass.net.codec import Listing
+from lapispass.net.codec import RegistryMessage
 from lapispass.net.http import HttpConnection
 from lapispass.net.registry import Registry
 
@@ -20,9 +20,9 @@
 class LateRegistry(Registry):
     """Takes the whole list at once, and changes of it much later."""
 
-    def take(self, listing: Listing, link: HttpConnection | None = None) -> None:
+    def take(self, listing: RegistryMessage, connection: HttpConnection | None = None) -> None:
         if listing.whole or not listing.entries:
-            super().take(listing, link)
+            super().take(listing, connection)
         else:
             asyncio.get_running_loop().call_later(LATE_S, super().take, listing, None)
 
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -20,7 +20,7 @@
 from lapispass.gate.upgrade import accept_value
 from lapispass.interface import Deployment
 from lapispass.net import limits as net
-from lapispass.net.codec import Listing
+from lapispass.net.codec import RegistryMessage
 from lapispass.net.launch import Launch
 from lapispass.net.service import Service
 from lapispass.operator import read as operator
@@ -211,14 +211,16 @@
                 self.registry.address,
                 self.relay.address,
                 5,
-                Listing(0, False, (), {}, 0),
+                RegistryMessage(0, False, (), {}, 0),
                 self.deployment,
                 net.Limits(),
             )
         )
         self.service = Service(launch)
         attach(source)(self.service)
-        self.gate_server = next(front for front in self.service.beside if isinstance(front, GateServer))
+        self.gate_server = next(
+            front for front in self.service.additional_fronts if isinstance(front, GateServer)
+        )
         self.tasks["controller"] = asyncio.create_task(self.service.run())
         await until(lambda: self.gate_server.address or self.tasks["controller"].done())
         self.port = int(self.gate_server.address.rpartition(":")[2])
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -18,7 +18,7 @@
 from lapispass import interface
 from lapispass.controller import Controller
 from lapispass.drill.codec import read_batches
-from lapispass.net.codec import Codec, Listing, Refused, WireError, call, taken
+from lapispass.net.codec import CallRejected, Codec, RegistryMessage, WireError, call_body, parse_call_answer
 from lapispass.net.counters import Counters
 from lapispass.net.limits import Limits
 from lapispass.net.lines import LineSplitter, LineTooLong
@@ -50,7 +50,7 @@
 
 
 def report(text: str) -> tuple[str, str | interface.Event]:
-    return CODEC.report(memoryview(text.encode()), True)
+    return CODEC.parse_report(memoryview(text.encode()), True)
 
 
 def test_each_message_means_what_it_means_on_the_simulators_wire() -> None:
@@ -68,7 +68,7 @@
     assert report("SHARD shard=88 route=look total=0 errors=3 interval=1000.0"), (
         "what came before may fail now"
     )
-    heard += [CODEC.news(kind, data) for kind, data in NEWS]
+    heard += [CODEC.parse_event(kind, data) for kind, data in NEWS]
     heard = [event._replace(backend=7) if hasattr(event, "backend") else event for event in heard]
     assert heard == [event for _, event in batch.news]
 
@@ -76,18 +76,18 @@
 def test_load_reports_stand_in_the_order_of_the_deployment() -> None:
     met = report(f"{LOAD} metrics=inflight:7,util:0.61,queue:2,odd:x")[1]
     assert isinstance(met, interface.ServerReport) and met.load == (2.0, 0.61)
-    assert CODEC.load("inflight=7,util=0.61", "=") == (None, 0.61)
+    assert CODEC.parse_load("inflight=7,util=0.61", "=") == (None, 0.61)
     # On sockets they come by the names of the settings; only the page's were read, and nothing was known of
     # queues.
-    assert CODEC.load("pending:2.0,svc_ms:125.884,cpu_share:0.5", ":") == (2.0, 0.5)
-    assert CODEC.load("odd=x", "=") is None
+    assert CODEC.parse_load("pending:2.0,svc_ms:125.884,cpu_share:0.5", ":") == (2.0, 0.5)
+    assert CODEC.parse_load("odd=x", "=") is None
     with pytest.raises(WireError):  # nothing of what is spoilt is believed
-        CODEC.load("inflight=7,queue=2,util=nan", "=")
+        CODEC.parse_load("inflight=7,queue=2,util=nan", "=")
 
 
 def test_the_list_is_read_and_a_start_is_a_moment_in_unix_time() -> None:
     # A start exceeds every span; it was once refused as too large a figure, and with it each new server.
-    told = CODEC.listing(
+    told = CODEC.parse_registry_text(
         listing(
             MEMBER,
             {**MEMBER, "id": "s-2", "phase": "Terminating", "size": 0, "up_since_ms": START_MS},
@@ -114,7 +114,7 @@
     ],
 )
 def test_an_odd_entry_is_left_out_and_counted(odd: dict) -> None:
-    told = CODEC.listing(listing({**MEMBER, **odd}, {**MEMBER, "id": "s-2"}, 5))
+    told = CODEC.parse_registry_text(listing({**MEMBER, **odd}, {**MEMBER, "id": "s-2"}, 5))
     assert [entry.backend for entry in told.entries] == ["s-2"] and told.unreadable == 2
 
 
@@ -134,7 +134,7 @@
 )
 def test_an_odd_list_is_refused(text: str) -> None:
     with pytest.raises(WireError):
-        CODEC.listing(text)
+        CODEC.parse_registry_text(text)
 
 
 @pytest.mark.parametrize(
@@ -164,9 +164,9 @@
 
 
 def test_a_collector_joins_for_a_zone_before_it_reports() -> None:
-    assert CODEC.report(memoryview(b"SOURCE locality=b"), False) == ("SOURCE", "b")
+    assert CODEC.parse_report(memoryview(b"SOURCE locality=b"), False) == ("SOURCE", "b")
     with pytest.raises(WireError):
-        CODEC.report(memoryview(LOAD.encode()), False)
+        CODEC.parse_report(memoryview(LOAD.encode()), False)
 
 
 @pytest.mark.parametrize(
@@ -185,7 +185,7 @@
 )
 def test_odd_news_are_refused(kind: str, data: str) -> None:
     with pytest.raises(WireError):
-        CODEC.news(kind, data)
+        CODEC.parse_event(kind, data)
 
 
 def test_nothing_from_outside_makes_the_module_fail() -> None:
@@ -211,11 +211,11 @@
             if choice == 0:
                 events.append(report(spoilt(chance.choice(texts[:2])))[1])
             elif choice == 1:
-                told = CODEC.listing(spoilt(chance.choice(texts[2:])))
+                told = CODEC.parse_registry_text(spoilt(chance.choice(texts[2:])))
                 events.append(interface.RegistryUpdate(("changes", "whole")[told.whole], told.entries))
             else:
                 kind, data = chance.choice(NEWS)
-                events.append(CODEC.news(kind, spoilt(data)))
+                events.append(CODEC.parse_event(kind, spoilt(data)))
         except WireError:
             refused += 1
         if chance.random() < 0.1:
@@ -225,7 +225,7 @@
                     order,
                     interface.Probe | interface.SetTimer | interface.WatchRegistry | interface.LogMessage,
                 ):
-                    CODEC.written(order)
+                    CODEC.format_order(order)
             events.clear()
     assert 500 < refused < 3500
 
@@ -245,17 +245,17 @@
     ],
 )
 def test_orders_are_written(order: interface.Order, text: str) -> None:
-    assert CODEC.written(order) == text
+    assert CODEC.format_order(order) == text
 
 
 def test_an_answer_to_a_mark_of_an_earlier_life_does_not_pass_for_one_of_this_life() -> None:
     before, now = Codec(TOLD, 256, 7), Codec(TOLD, 256, 40_000)
-    assert now.written(interface.Barrier(65535, True)) == "SYNC,39999,1"
-    assert now.news("ACK", "node=1&nonce=39999&latency=1").barrier == 65535
-    late = before.written(interface.Barrier(3, True)).split(",")[1]
+    assert now.format_order(interface.Barrier(65535, True)) == "SYNC,39999,1"
+    assert now.parse_event("ACK", "node=1&nonce=39999&latency=1").barrier == 65535
+    late = before.format_order(interface.Barrier(3, True)).split(",")[1]
     controller = Controller(deployment(slices=1, proxies=1), 1, 0)
     controller.turn(0, [interface.ProxyJoined(0, True, "a", 1.0), interface.SliceGrant(0, True)])
-    controller.turn(1, [now.news("ACK", f"node=0&nonce={late}&latency=1")])
+    controller.turn(1, [now.parse_event("ACK", f"node=0&nonce={late}&latency=1")])
     assert controller.channel.proxies.joined[0].answered < 0
 
 
@@ -303,7 +303,7 @@
             entries = "".join(
                 f"\nENTRY\t{n}\ta\tk\t0\t{phases[states[n]]}\t1.0\t{born * 1000}" for n in range(4)
             )
-            told_now = codec.listing(
+            told_now = codec.parse_registry_text(
                 listing(
                     *({**MEMBER, "id": f"s-{n}", "phase": states[n], "up_since_ms": born} for n in range(4))
                 )
@@ -313,11 +313,14 @@
             for node in range(2):
                 both(
                     f"ENROLLED\t0\t0\t{node}\ta\t5",
-                    codec.news("SUBSCRIBE", f"node={node}&locality=a&w=5&cold=0"),
+                    codec.parse_event("SUBSCRIBE", f"node={node}&locality=a&w=5&cold=0"),
                 )
             for n in range(6):
-                both(f"GIVEN\t0\t{n}\t1", codec.news("GRANT", f"shard={n}&set=1"))
-                both(f"RECORDED\t0\t{n}\t{n % 4}\t1", codec.news("ROW", f"shard={n}&endpoint=s-{n % 4}&w=1"))
+                both(f"GIVEN\t0\t{n}\t1", codec.parse_event("GRANT", f"shard={n}&set=1"))
+                both(
+                    f"RECORDED\t0\t{n}\t{n % 4}\t1",
+                    codec.parse_event("ROW", f"shard={n}&endpoint=s-{n % 4}&w=1"),
+                )
         if number % 20 == 3:
             for n in range(4):
                 lost, took = chance.randrange(9), chance.randrange(3000)
@@ -336,11 +339,11 @@
                 )
         for order in there.current.orders:
             if isinstance(order, interface.Barrier):
-                nonce = codec.written(order).split(",")[1]
+                nonce = codec.format_order(order).split(",")[1]
                 for node in range(2):
                     both(
                         f"TOOK_EFFECT\t0\t{order.number}\t{node}\t50000",
-                        codec.news("ACK", f"node={node}&nonce={nonce}&latency=50.0"),
+                        codec.parse_event("ACK", f"node={node}&nonce={nonce}&latency=50.0"),
                     )
         (batch,) = read_batches(io.StringIO("\n".join((f"SYNC\t{now}\t{number}", *lines, "EOF_BATCH", ""))))
         orders = there.turn(now, [event for _, event in batch.news])
@@ -364,17 +367,17 @@
 
 
 def test_a_call_is_a_form_and_its_answer_a_count_or_a_refusal() -> None:
-    assert call(["SET,4,s-1,1.5", "DEL,4"]) == b"Action=ApplyOrders&orders=SET%2C4%2Cs-1%2C1.5%3BDEL%2C4"
+    assert call_body(["SET,4,s-1,1.5", "DEL,4"]) == b"Action=ApplyOrders&orders=SET%2C4%2Cs-1%2C1.5%3BDEL%2C4"
     answer = (
         b'<?xml version="1.0"?>\n<Response><entries><item><ok_count>2</ok_count></item></entries></Response>'
     )
-    assert taken(answer) == 2
+    assert parse_call_answer(answer) == 2
     for word in ("throttled", "invalid"):
-        with pytest.raises(Refused, match=word):
-            taken(f"<Response><error><code>{word}</code></error></Response>".encode())
+        with pytest.raises(CallRejected, match=word):
+            parse_call_answer(f"<Response><error><code>{word}</code></error></Response>".encode())
     for odd in (answer[:50], b"", answer.replace(b"2<", b"x<"), b"<Response/>", b"\xff\xfe", b"{}"):
         with pytest.raises(WireError):
-            taken(odd)
+            parse_call_answer(odd)
 
 
 def test_lines_are_cut_the_same_however_the_bytes_come() -> None:
@@ -447,12 +450,12 @@
 
     async def read() -> None:
         heard: list[interface.Event] = []
-        known = Listing(5, True, (interface.RegistryEntry("s-0", "east", "ready", 1.0, None),), {}, 0)
+        known = RegistryMessage(5, True, (interface.RegistryEntry("s-0", "east", "ready", 1.0, None),), {}, 0)
         registry = Registry(
             "127.0.0.1:1", known, heard.append, Codec(deployment(), 256), Limits(), Counters()
         )
         try:
-            listing = registry.codec.listing(
+            listing = registry.codec.parse_registry_text(
                 json.dumps({"revision": revision, "complete": complete, "members": told})
             )
             registry.take(listing)
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -146,7 +146,7 @@
 
 async def test_an_internal_error_costs_one_connection(caplog: pytest.LogCaptureFixture) -> None:
     async with listening() as (collectors, _, connect):
-        collectors.tell = lambda event: 1 // 0
+        collectors.deliver = lambda event: 1 // 0
         reader, writer = await connect()
         writer.write(LOAD_LINE)
         assert await read_to_end(reader) == b""
--- a/tests/test_cuts.py
+++ b/tests/test_cuts.py
@@ -29,7 +29,7 @@
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
 from lapispass.net.registry import Registry
-from lapispass.net.relay import Calls, News
+from lapispass.net.relay import Calls, EventStream
 from lapispass.net.streams import Reader
 
 drawn = drawing(derandomize=True, database=None, deadline=None, max_examples=60)
@@ -87,14 +87,14 @@
 ]
 
 
-async def events_of_stream(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], News]:
+async def events_of_stream(pieces: list[bytes], ends: Any) -> tuple[list[interface.Event], EventStream]:
     events: list[interface.Event] = []
     calls = Calls("", CODEC, QUICK, Counters())
-    news = News("", calls, events.append, CODEC, QUICK, Counters())
-    news.place.standby = ScriptedConnection(pieces, ends)
-    await news.stream()
-    assert not calls.quiet.locked() and news.picture is None and news.counters["news.lost"] == 1
-    return events, news
+    stream = EventStream("", calls, events.append, CODEC, QUICK, Counters())
+    stream.endpoint.standby = ScriptedConnection(pieces, ends)
+    await stream.stream()
+    assert not calls.lock.locked() and stream.snapshot is None and stream.counters["news.lost"] == 1
+    return events, stream
 
 
 async def test_news_cut_off_at_every_position_leave_whole_events_and_free_calls() -> None:
@@ -133,9 +133,9 @@
 async def events_of_watch(pieces: list[bytes]) -> tuple[list[interface.Event], Registry]:
     events: list[interface.Event] = []
     registry = Registry("", KNOWN, events.append, CODEC, QUICK, Counters())
-    connection = registry.place.standby = ScriptedConnection(pieces)
+    connection = registry.endpoint.standby = ScriptedConnection(pieces)
     await registry.watch()
-    assert connection.closed and not registry.open.is_set() and LOST not in events
+    assert connection.closed and not registry.watch_open.is_set() and LOST not in events
     return events[1:], registry
 
 
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -341,7 +341,7 @@
 async def test_xds_clients_beside_the_platforms_controller(tmp_path: Path) -> None:
     """The same turns of the controller reach the relay's proxies, gates and xDS clients."""
     async with fleet(tmp_path, 2, extra='xds { listen: "127.0.0.1:0" }') as env:
-        front = next(front for front in env.service.beside if isinstance(front, PlatformXdsServer))
+        front = next(front for front in env.service.additional_fronts if isinstance(front, PlatformXdsServer))
         await until(lambda: front.xds_server.address)
         client = XdsClient(front.xds_server.address, "c0", 1)
         running = asyncio.create_task(client.run())
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -32,8 +32,8 @@
     )
     # Where the settings say that changes come unasked, nobody ever told it the list: on sockets one must ask.
     assert (
-        launch.told == replace(settings.read(SETTINGS), subscribes_to_registry=True)
-        and launch.told.turn_interval_us == 7000
+        launch.deployment == replace(settings.read(SETTINGS), subscribes_to_registry=True)
+        and launch.deployment.turn_interval_us == 7000
     )
     assert launch.known.entries[0].backend == "s-1" and launch.limits.connections == 512
     assert Limits.for_sockets(256).connections == 128 and Limits.for_sockets(8192).connections == 512
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -107,7 +107,7 @@
     before = logging.getLogger().handlers[:]
     handler = log.start(write)
     try:
-        PartLogger("test").say("last line")
+        PartLogger("test").info("last line")
         while filled > 0:
             filled -= len(os.read(read, 1 << 16))
         log.flush_pending()
--- a/tests/test_momentary_errors.py
+++ b/tests/test_momentary_errors.py
@@ -16,7 +16,7 @@
 
 from lapispass import interface
 from lapispass.net.counters import Counters
-from lapispass.net.probes import ANSWERED, BROKE, LATE, UNREACHABLE, Probes
+from lapispass.net.probes import ANSWERED, CONNECTION_FAILED, TIMED_OUT, UNREACHABLE, Probes
 
 LOCAL = [errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.EAGAIN]
 ROUTE = [errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN]
@@ -72,7 +72,7 @@
     expected = {}
     for error in (*LOCAL, *ROUTE):
         expected[errno.errorcode[error], "for a moment"] = [ANSWERED]
-        expected[errno.errorcode[error], "for good"] = [] if error in LOCAL else [LATE]
+        expected[errno.errorcode[error], "for good"] = [] if error in LOCAL else [TIMED_OUT]
     assert found == expected and dials.failed > 2 * len(expected)
 
 
@@ -104,4 +104,4 @@
         found += [probed.reason for _ in range(10) for probed in await probe(address)]
         listener.shutdown(socket.SHUT_RDWR)
         serving.join()
-    assert len(found) == 60 and set(found) <= {BROKE, UNREACHABLE}
+    assert len(found) == 60 and set(found) <= {CONNECTION_FAILED, UNREACHABLE}
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -77,7 +77,7 @@
         assert len(probes.under_way) == 3
         await until(lambda: len(heard) == 20)
         assert [told.backend for told in heard if told.reason == 0] == [f"s-{n}" for n in range(12, 20)]
-        assert counters["probes.left_out"] == 1 and not probes.line and not probes.under_way
+        assert counters["probes.left_out"] == 1 and not probes.queue and not probes.under_way
 
 
 @pytest.mark.parametrize("becomes", [{"host_port": "127.0.0.1:2"}, {"up_since_ms": 1_796_139_439_123}])
@@ -100,7 +100,7 @@
 
         def listed(revision: int, **changes: object) -> None:
             member = {**MEMBER, "host_port": server.address, **changes}
-            registry.take(CODEC.listed(listing(revision, member, complete=False)))
+            registry.take(CODEC.parse_registry_message(listing(revision, member, complete=False)))
 
         listed(6)
         probes.start("s-1", registry.addresses["s-1"])
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -66,7 +66,7 @@
         registry.move(book.address)
         registry.follow()
         await until(lambda: heard.count(LOST) == 2)
-        assert not registry.place.standby
+        assert not registry.endpoint.standby
 
 
 @pytest.mark.parametrize(
@@ -103,7 +103,7 @@
     registry = Registry("", KNOWN, heard.append, CODEC, replace(QUICK, servers=2), Counters())
     for start in range(0, 60, 4):
         members = [{**MEMBER, "id": f"s-{start + n}"} for n in range(4)]
-        registry.take(CODEC.listed(listing(9, *members)))
+        registry.take(CODEC.parse_registry_message(listing(9, *members)))
     assert all(event.kind == "changes" and len(event.entries) == 2 for event in heard[1:])
     assert list(registry.addresses) == ["s-52", "s-53", "s-56", "s-57"]
 
@@ -176,7 +176,7 @@
         if fails == "refused":
             held.refused.add(new.address)
         async with following(old, KNOWN) as (registry, heard):
-            await until(lambda: registry.open.is_set())
+            await until(lambda: registry.watch_open.is_set())
             registry.move(new.address)
             await until(lambda: len(heard) == 2)
             assert heard[1].entries[0].backend == "s-2", "the old place serves meanwhile"
@@ -192,12 +192,12 @@
         Later(*[["silent"]] * 9) as new,
         following(old, KNOWN) as (registry, heard),
     ):
-        await until(lambda: registry.open.is_set())
+        await until(lambda: registry.watch_open.is_set())
         registry.move(new.address)
         await until(lambda: new.writers)
         registry.move(old.address)
         await until(lambda: all(task.done() for task in new.tasks))
-        assert len(old.targets) == 1 and len(heard) == 1 and not registry.place.standby
+        assert len(old.targets) == 1 and len(heard) == 1 and not registry.endpoint.standby
 
 
 async def test_bytes_that_dribble_in_and_never_make_a_line_are_no_sign_of_life() -> None:
@@ -239,7 +239,7 @@
         lost = heard[1:-1]  # a busy machine may need one more
         assert lost == [LOST] * len(lost) and len(lost) >= failed
         assert len(book.targets) == len(lost) + 1
-        assert registry.slow == 0, "the next one has the usual time again"
+        assert registry.slow_reads == 0, "the next one has the usual time again"
 
 
 async def test_a_whole_list_that_is_fetched_too_slowly_gives_the_next_one_twice_as_long() -> None:
@@ -267,8 +267,8 @@
 
 async def test_silence_within_a_list_is_given_no_longer_after_slow_ones() -> None:
     async with RegistryServer([b"{", 3600.0]) as book, following(book, KNOWN) as (registry, heard):
-        registry.slow = 3
-        await until(lambda: registry.open.is_set())
+        registry.slow_reads = 3
+        await until(lambda: registry.watch_open.is_set())
         began = asyncio.get_running_loop().time()
         await until(lambda: LOST in heard)
         took_us = (asyncio.get_running_loop().time() - began) * 1e6
@@ -297,11 +297,11 @@
         ) as book,
         following(book, KNOWN, replace(QUICK, unlisted_us=40 * MS)) as (registry, heard),
     ):
-        await until(lambda: registry.open.is_set())
-        registry.named("s-1")
+        await until(lambda: registry.watch_open.is_set())
+        registry.note_mention("s-1")
         await asyncio.sleep(0.1)
         assert registry.counters["registry.renewals"] == 0, "that one is known"
-        registry.named("s-2")
+        registry.note_mention("s-2")
         await until(lambda: len(heard) == 2)
         assert LOST not in heard and registry.counters["registry.renewals"] == 1
 
@@ -318,7 +318,7 @@
     async with RegistryServer() as book:
         link = await HttpConnection.open(book.address, QUICK)
         link.watch_from = since
-        told = CODEC.listed(listing(version, MEMBER, complete=whole))
+        told = CODEC.parse_registry_message(listing(version, MEMBER, complete=whole))
         if taken is None:  # behind even where it was asked from: the whole list is asked for
             with pytest.raises(Exception, match="went back"):
                 registry.take(told, link)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -25,7 +25,7 @@
 
 from lapispass import interface
 from lapispass.net.counters import Counters
-from lapispass.net.relay import News
+from lapispass.net.relay import EventStream
 
 ORDERS = [
     interface.ClearTable(1),
@@ -84,11 +84,11 @@
 
 async def test_calls_wait_for_a_relay_that_is_away_and_orders_for_slices_given_anew_are_void() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
-        news = News(relay.address, calls, lambda event: None, CODEC, QUICK, Counters())
+        stream = EventStream(relay.address, calls, lambda event: None, CODEC, QUICK, Counters())
         relay.faults += ["reset before"] * 10_000  # it stays away until the news has come
         task = asyncio.create_task(calls.carry_out(ORDERS))
         await until(lambda: len(relay.calls) >= 1)
-        news.pass_on(interface.SliceGrant(2, True))  # decided before this was known
+        stream.pass_on(interface.SliceGrant(2, True))  # decided before this was known
         begun = len(relay.calls)
         await until(lambda: len(relay.calls) >= begun + 2)  # the last of them began after the news
         relay.faults.clear()
@@ -148,8 +148,8 @@
 
 
 async def test_a_slice_whose_owner_changed_in_the_gap_was_given_anew() -> None:
-    async with RelayServer() as relay, events_of(relay) as (news, heard):
-        await news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0)])
+    async with RelayServer() as relay, events_of(relay) as (stream, heard):
+        await stream.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0)])
         relay.snapshot[3:] = [
             ("ROW", "shard=3&endpoint=s-9&w=1"),
             SNAPSHOT_LINES[4],
@@ -166,15 +166,15 @@
 async def test_what_stands_is_not_compared_while_a_call_is_under_way() -> None:
     # Once the picture showed a slice without the owner that the call under way was about to give it; the
     # module took it for given anew, chose another owner, and the writes of the slice were with both.
-    async with RelayServer() as relay, events_of(relay) as (news, heard):
-        news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
+    async with RelayServer() as relay, events_of(relay) as (stream, heard):
+        stream.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults.append("held")
         under_way = asyncio.create_task(
-            news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
+            stream.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
         )
         await until(lambda: relay.calls)
         relay.streams[0][1].transport.abort()
-        await until(lambda: news.counters["news.lost"] == 1)
+        await until(lambda: stream.counters["news.lost"] == 1)
         await asyncio.sleep(0.05)
         assert len(relay.streams) == 1 and not heard
         relay.snapshot.append(("ROW", "shard=4&endpoint=s-2&w=1"))
@@ -187,23 +187,23 @@
 
 
 async def test_orders_that_waited_for_the_picture_are_void_for_slices_that_it_gives_anew() -> None:
-    async with RelayServer() as relay, events_of(relay) as (news, heard):
+    async with RelayServer() as relay, events_of(relay) as (stream, heard):
         relay.snapshot[3] = ("ROW", "shard=3&endpoint=s-9&w=1")
-        news.limits = replace(QUICK, snapshot_us=10 * SECOND, snapshot_gap_us=300 * MS)
+        stream.limits = replace(QUICK, snapshot_us=10 * SECOND, snapshot_gap_us=300 * MS)
         relay.sends_heartbeats = False
         relay.reset()
-        await until(lambda: len(relay.streams) == 2 and news.picture)
-        await news.calls.carry_out([*ORDERS, interface.SetTableEntry(3, "s-2", 1.0)])
+        await until(lambda: len(relay.streams) == 2 and stream.snapshot)
+        await stream.calls.carry_out([*ORDERS, interface.SetTableEntry(3, "s-2", 1.0)])
         assert interface.StoredOwner(3, "s-9") in heard and relay.orders_done == TEXTS
 
 
 @pytest.mark.parametrize("doubt", ["left out", "given anew"])
 async def test_where_the_store_may_differ_from_what_was_ordered_what_stands_is_asked_for(doubt: str) -> None:
-    async with RelayServer() as relay, events_of(relay) as (news, heard):
-        news.calls.limits = replace(QUICK, answer_us=10 * SECOND)
+    async with RelayServer() as relay, events_of(relay) as (stream, heard):
+        stream.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults += ["held"] if doubt == "given anew" else ["short 0"] * 2
         under_way = asyncio.create_task(
-            news.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
+            stream.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0), interface.Barrier(1, True)])
         )
         await until(lambda: relay.calls)
         if doubt == "given anew":
@@ -218,14 +218,14 @@
 
 @pytest.mark.parametrize("fault", ["silent", "unreadable event", "unreadable chunk", "cut off", "too long"])
 async def test_news_that_fail_are_asked_for_again(fault: str) -> None:
-    async with RelayServer() as relay, events_of(relay) as (news, heard):
+    async with RelayServer() as relay, events_of(relay) as (stream, heard):
         relay.sends_heartbeats = fault != "silent"
         if fault == "unreadable event":  # something changed unheard
             relay.send_event("CLOSED", "node=x")
         elif fault == "unreadable chunk":
             relay.streams[-1][1].write(b"zzz\r\n")
         elif fault == "too long":
-            news.limits = replace(QUICK, message_bytes=100)
+            stream.limits = replace(QUICK, message_bytes=100)
             relay.send_event("ODD", "x" * (2 << 20))
         elif fault == "cut off":  # half an event is none
             relay.streams[-1][1].write(b"24\r\nevent: CLOSED\ndata: node=0\n")
@@ -268,17 +268,17 @@
     limits = replace(QUICK, snapshot_us=200 * MS, snapshot_gap_us=180 * MS)  # ten events, 100 ms apart
     async with Slow() as relay, calls_to(relay) as calls:
         relay.later, relay.snapshot = [], SNAPSHOT_LINES * 2
-        news = News(relay.address, calls, heard.append, CODEC, limits, Counters())
-        async with running(news.run()):
+        stream = EventStream(relay.address, calls, heard.append, CODEC, limits, Counters())
+        async with running(stream.run()):
             await until(lambda: len(heard) >= 2 * len(SNAPSHOT_EVENTS) - 3)
-        assert news.counters["news.opened"] > 1
+        assert stream.counters["news.opened"] > 1
 
 
 async def test_news_that_dribble_are_no_sign_of_life() -> None:
-    async with RelayServer() as relay, events_of(relay) as (news, _):
+    async with RelayServer() as relay, events_of(relay) as (stream, _):
         relay.sends_heartbeats = False
         state, writer = relay.streams[-1]
-        while news.counters["news.lost"] == 0:
+        while stream.counters["news.lost"] == 0:
             if not writer.is_closing():
                 writer.write(state.send(h11.Data(data=b"x")))
             await asyncio.sleep(0.03)
@@ -292,14 +292,14 @@
     async with RelayServer() as old, RelayServer() as new, calls_to(old) as calls:
         new.snapshot = list(SNAPSHOT_LINES)
         held.gates[old.address] = asyncio.Event()
-        news = News(old.address, calls, heard.append, CODEC, limits, Counters())
-        async with running(news.run()):
+        stream = EventStream(old.address, calls, heard.append, CODEC, limits, Counters())
+        async with running(stream.run()):
             await until(lambda: held.dialed)
-            news.move(new.address)
+            stream.move(new.address)
             await until(lambda: heard == SNAPSHOT_EVENTS)
             held.gates[old.address].set()
             await asyncio.sleep(0.05)
-            assert not old.streams and not calls.quiet.locked()
+            assert not old.streams and not calls.lock.locked()
 
 
 async def test_an_answer_that_comes_twice_does_not_pass_for_that_to_the_next_call() -> None:
@@ -324,7 +324,7 @@
 
     async with Twice() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
-        calls.doubt = lambda: doubts.append(True)
+        calls.on_uncertainty = lambda: doubts.append(True)
         await calls.carry_out([interface.Barrier(1, True)])
         await calls.carry_out([interface.Barrier(2, True)])
         await asyncio.sleep(0.02)
@@ -337,10 +337,10 @@
 async def test_what_comes_unasked_on_a_kept_connection_has_what_stands_compared() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
-        calls.doubt = lambda: doubts.append(True)
+        calls.on_uncertainty = lambda: doubts.append(True)
         await calls.carry_out([interface.Barrier(1, True)])
         relay.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-        await until(lambda: calls.link.has_unrequested_data)
+        await until(lambda: calls.connection.has_unrequested_data)
         await calls.carry_out([interface.Barrier(2, True)])
         assert doubts == [True] and relay.orders_done == ["SYNC,1,1", "SYNC,2,1"] and len(relay.writers) == 2
 
@@ -348,7 +348,7 @@
 async def test_a_connection_closed_as_idle_in_the_instant_of_its_use_costs_one_attempt() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         await calls.carry_out([interface.Barrier(1, True)])
-        link = calls.link
+        link = calls.connection
         link.writer.transport.pause_reading()  # its end is on the way and not seen
         relay.reset()
         link.writer.transport.resume_reading()
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -28,7 +28,7 @@
 async def test_rule_2_holds_and_all_comes_right_while_everything_fails(seed: int) -> None:
     async with World(seed, SLICES, PROXIES) as world, Roll() as roll:
         chance = world.chance
-        service = Service(launch(world.address, roll.address, told=DEPLOYMENT))
+        service = Service(launch(world.address, roll.address, deployment=DEPLOYMENT))
         async with running(service.run()) as task:
             begun = world.loop.time()
             # For 4 s, and on a slow machine until slices have moved: the count below needs no fast one.
@@ -69,7 +69,7 @@
         ):
             life += 1
             service = Service(
-                launch(world.address, roll.address, told=DEPLOYMENT, seed=seed * 1000 + life * 7919)
+                launch(world.address, roll.address, deployment=DEPLOYMENT, seed=seed * 1000 + life * 7919)
             )
             task = asyncio.create_task(service.run())
             ends = world.loop.time() + chance.uniform(0.05, 0.9)
@@ -85,6 +85,8 @@
             world.out_of_touch()
             assert not world.broken, world.broken
         world.faults.clear()
-        async with running(Service(launch(world.address, roll.address, told=DEPLOYMENT, seed=seed)).run()):
+        async with running(
+            Service(launch(world.address, roll.address, deployment=DEPLOYMENT, seed=seed)).run()
+        ):
             await until(lambda: is_right(world, roll))
         assert not world.broken and life > 3
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -106,14 +106,14 @@
 
         async def carry_out(orders: list[interface.Order]) -> None:
             turns.append(service.counters["service.late_turns"])
-            service.wakes[0] = service.clock.now() + 20 * MS
+            service.timers[0] = service.clock.now() + 20 * MS
             if len(turns) == 3:
                 await asyncio.sleep(0.2)  # a call
             elif len(turns) == 5:
                 asyncio.get_running_loop().call_later(0.001, time.sleep, 0.2)
 
         service.carry_out = carry_out
-        async with running(service.turns()):
+        async with running(service.run_turns()):
             await until(lambda: len(turns) > 6)
         assert turns[:7] == [0, 0, 0, 0, 0, 1, 1]
 
@@ -121,20 +121,20 @@
 async def test_a_full_inbox_leaves_out_sums_and_nothing_else() -> None:
     service = Service(launch("127.0.0.1:1", "127.0.0.1:1", limits=replace(QUICK, events=3)))
     for event in (LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, interface.ProxyLeft(1)):
-        service.tell(event)
+        service.deliver(event)
     assert (
         service.inbox[1:] == [LOAD_REPORT, LOAD_REPORT, interface.ProxyLeft(1)]
         and service.counters["service.events_left_out"] == 2
     )
-    service.tell(interface.ProxyLeft(2))
-    service.tell(interface.ProxyLeft(3))
+    service.deliver(interface.ProxyLeft(2))
+    service.deliver(interface.ProxyLeft(3))
     with pytest.raises(InboxFull):  # the news end, and the next ones begin with all that stands
-        service.news.pass_on(interface.SliceGrant(7, True))
-    assert 7 not in service.calls.rows, "what was not taken in does not count as known"
+        service.event_stream.pass_on(interface.SliceGrant(7, True))
+    assert 7 not in service.calls.owners, "what was not taken in does not count as known"
     with pytest.raises(InboxFull):
-        service.registry.take(CODEC.listing(change(9, MEMBER)))
+        service.registry.take(CODEC.parse_registry_text(change(9, MEMBER)))
     assert service.registry.version is None
-    service.tell(LOST)
+    service.deliver(LOST)
     assert service.inbox[-1] == LOST
 
 
@@ -152,7 +152,9 @@
         service = Service(began)
         async with running(service.run()):
             await until(lambda: "DEL,3" in old.orders_done)  # the empty step is under way
-            await service.follow(replace(began, relay=new.address, registry=book.address, told=CODEC.told))
+            await service.follow(
+                replace(began, relay=new.address, registry=book.address, deployment=CODEC.deployment)
+            )
             await until(lambda: "SET,3,s-2,1" in new.orders_done)
             steps = [text for text in old.orders_done + new.orders_done if text.startswith(("SET", "DEL"))]
             assert steps == ["DEL,3", "SET,3,s-2,1"], "nothing is lost or said twice"
@@ -164,7 +166,7 @@
             assert (len(new.writers), len(book.writers)) == connections and not new.streams[0][1].is_closing()
             await service.follow(replace(began, relay=old.address, registry=was.address))
             await until(lambda: len(old.streams) == 2 and len(was.targets) == 2)
-        assert not service.news.place.standby and not service.registry.place.standby
+        assert not service.event_stream.endpoint.standby and not service.registry.endpoint.standby
 
 
 async def test_an_address_that_cannot_be_bound_is_a_bad_start() -> None:
@@ -196,7 +198,7 @@
             {
                 "start": lambda: True,
                 "listening": lambda: service.collectors.acceptor,
-                "picture": lambda: service.news.picture,
+                "picture": lambda: service.event_stream.snapshot,
                 "call sent": lambda: relay.calls,
                 "call unsettled": lambda: service.counters["relay.unknown"] > 1,
                 "silent relay": lambda: relay.calls,
@@ -237,7 +239,7 @@
             task for task in asyncio.all_tasks() if "lapispass/" in str(task.get_coro().cr_code.co_filename)
         ]
         assert not ours and not service.probes.under_way
-        assert service.calls.link is None or service.calls.link.writer.is_closing()
+        assert service.calls.connection is None or service.calls.connection.writer.is_closing()
         await asyncio.sleep(0.05)
         assert len(relay.orders_done) == done, "nothing is ordered after the end"
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -21,7 +21,7 @@
 from lapispass.core import ownership
 from lapispass.core.membership import Members
 from lapispass.drill.codec import read_batches
-from lapispass.net.codec import Codec, Listing
+from lapispass.net.codec import Codec, RegistryMessage
 from lapispass.net.counters import Counters
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
@@ -78,11 +78,11 @@
     assert len(launch.known.entries) == MANY and launch.limits.events > 5000 + 2 * 6000
     heard: list[interface.Event] = []
     registry = Registry(
-        "127.0.0.1:1", launch.known, heard.append, Codec(launch.told, 256), launch.limits, Counters()
+        "127.0.0.1:1", launch.known, heard.append, Codec(launch.deployment, 256), launch.limits, Counters()
     )
     for state in ("Ready", "Terminating"):
         text = json.dumps(listing(2, *members(state)))
-        registry.take(registry.codec.listing(text))
+        registry.take(registry.codec.parse_registry_text(text))
     assert [(told.kind, len(told.entries)) for told in heard] == [
         ("remembered", MANY),
         ("whole", MANY),
@@ -92,7 +92,7 @@
     probes = Probes(heard.append, registry.codec, launch.limits, registry.counters)
     for backend, address in registry.addresses.items():
         probes.start(backend, address)
-    assert len(probes.line) + len(probes.under_way) == MANY and not registry.counters["probes.left_out"]
+    assert len(probes.queue) + len(probes.under_way) == MANY and not registry.counters["probes.left_out"]
     await ended(*probes.close())
 
 
@@ -101,13 +101,13 @@
     limits = Limits(servers=1000)
     registry = Registry(
         "127.0.0.1:1",
-        Listing(0, False, (), {}, 0),
+        RegistryMessage(0, False, (), {}, 0),
         heard.append,
         Codec(deployment(), 256),
         limits,
         Counters(),
     )
-    registry.take(registry.codec.listing(json.dumps(listing(2, *members()))))
+    registry.take(registry.codec.parse_registry_text(json.dumps(listing(2, *members()))))
     assert heard[-1].kind == "changes" and registry.counters["registry.too_many"] == 24
 
 
@@ -148,7 +148,7 @@
     file = tmp_path / "many.textproto"
     file.write_text(text)
     source = operator.read(file)
-    assert len(source.told.node) == MANY and not list(operator.check(source))
+    assert len(source.settings.node) == MANY and not list(operator.check(source))
     file.write_text(text.replace('id: "n1023"', 'id: "n1"'))
     with pytest.raises(operator.BadFile, match=r":1038: node\[1023\].id: 'n1' stands twice"):
         operator.read(file)
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -28,7 +28,7 @@
 
 from lapispass import interface
 from lapispass.core.membership import Members
-from lapispass.net.codec import Codec, Listing, WireError
+from lapispass.net.codec import Codec, RegistryMessage, WireError
 from lapispass.net.counters import Counters
 from lapispass.net.launch import BadStart, Launch
 from lapispass.net.limits import Limits
@@ -45,7 +45,7 @@
 CONTROLLERS = 720
 ZONES = 16
 LIMITS = Limits()
-EMPTY_LISTING = Listing(0, False, (), {}, 0)
+EMPTY_LISTING = RegistryMessage(0, False, (), {}, 0)
 CHUNK_BYTES = 16 << 10
 
 
@@ -116,7 +116,7 @@
             ("changes", 1),
         ]
         assert server.targets == ["/registry/instances", "/registry/instances?watch=1&from=5"]
-        assert len(registry.addresses) == len(registry.born) == SERVERS
+        assert len(registry.addresses) == len(registry.start_times) == SERVERS
         assert not counters["registry.too_many"] and not counters["registry.unreadable"]
 
 
@@ -134,7 +134,7 @@
     (tmp_path / "config.json").write_text(text)
     launch = Launch.read({"LB_CONFIG": str(tmp_path / "config.json")})
     assert len(launch.known.entries) == len(launch.known.addresses) == SERVERS
-    assert launch.told.slices == TENANTS and launch.known.unreadable == 0
+    assert launch.deployment.slices == TENANTS and launch.known.unreadable == 0
     assert launch.limits.events >= 2 * 5000 + 3 * TENANTS, "all that stands fits one turn"
 
 
@@ -152,7 +152,7 @@
     entries = tuple(
         interface.RegistryEntry(f"s-{n}", "a", "ready", 1.0, None) for n in range(LIMITS.servers + 3)
     )
-    registry.take(Listing(2, True, entries, {}, 0))
+    registry.take(RegistryMessage(2, True, entries, {}, 0))
     assert heard[-1].kind == "changes" and len(heard[-1].entries) == LIMITS.servers
     assert registry.counters["registry.too_many"] == 3
 
@@ -166,9 +166,9 @@
             interface.RegistryEntry(f"s-{round_}-{n}", "a", "ready", 1.0, None) for n in range(SERVERS)
         )
         addresses = {entry.backend: "127.0.0.1:9" for entry in entries}
-        registry.take(Listing(2 + round_, True, entries, addresses, 0))
+        registry.take(RegistryMessage(2 + round_, True, entries, addresses, 0))
         assert all(entry.backend in registry.addresses for entry in entries)
-    assert len(registry.addresses) == len(registry.born) == 2 * SERVERS
+    assert len(registry.addresses) == len(registry.start_times) == 2 * SERVERS
 
 
 async def test_every_server_may_wait_for_its_probe() -> None:
@@ -176,7 +176,7 @@
     probes = Probes(lambda event: None, CODEC, LIMITS, counters)
     for number in range(SERVERS):
         probes.start(f"s-{number}", "127.0.0.1:9")
-    assert len(probes.line) + len(probes.under_way) == SERVERS and not counters["probes.left_out"]
+    assert len(probes.queue) + len(probes.under_way) == SERVERS and not counters["probes.left_out"]
     await ended(*probes.close())
 
 
@@ -185,9 +185,9 @@
     calls = Calls("127.0.0.1:1", codec, LIMITS, Counters())
     orders: list[interface.Order] = [interface.SetTableEntry(n, f"s-{n:08x}", 1.0) for n in range(SLICES)]
     orders += [interface.SetAdmission(n, 1, 0, 0.9) for n in range(SLICES)]
-    parts = list(calls.parts([*orders, interface.Barrier(1, True)]))
+    parts = list(calls.split_into_calls([*orders, interface.Barrier(1, True)]))
     written = [item.text for part in parts for item in part]
-    assert written == [codec.written(order) for order in [*orders, interface.Barrier(1, True)]]
+    assert written == [codec.format_order(order) for order in [*orders, interface.Barrier(1, True)]]
     assert len(parts) > 1
     assert all(len(";".join(item.text for item in part)) <= LIMITS.call_bytes for part in parts)
 
@@ -234,7 +234,7 @@
     file = tmp_path / "target.textproto"
     file.write_text("\n".join(lines))
     assert file.stat().st_size > 600_000
-    told = operator.read(file).told
+    told = operator.read(file).settings
     assert len(told.node) == SERVERS and len(told.line) == SLICES and len(told.gates.name) == CONTROLLERS
     file.write_text("\n".join(lines).replace('name: "g719"', 'name: "g7"'))
     with pytest.raises(operator.BadFile, match=r":721: gates.name\[719\]: 'g7' stands twice"):
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -300,13 +300,13 @@
 
         async with controller(tmp_path) as host:
             events: list[Any] = []
-            tell = host.tell
+            tell = host.deliver
 
             def record(event: interface.Event) -> None:
                 events.append(event)
                 tell(event)
 
-            host.tell = record  # type: ignore[method-assign]
+            host.deliver = record  # type: ignore[method-assign]
             name, port = host.xds_server.address.split(":")
             channel = Channel(name, int(port))
             path = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
