--- a/lapispass/__main__.py
+++ b/lapispass/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lapispass`: alone the platform's controller, with a verb the command line."""
+"""`python -m lapispass` runs the platform's controller; with arguments, the command line interface."""
 
 import sys
 
@@ -9,9 +9,9 @@
         from lapispass.cli.main import main as verbs
 
         verbs()
-    signals.ignore_all()  # before the rest is loaded, which takes most of the start
+    signals.ignore_all()  # before the other imports, which take most of the start-up time
     from lapispass.net.service import main
 
     status = main()
-    signals.block_all()  # until the interpreter is gone
+    signals.block_all()  # until the interpreter has exited
     sys.exit(status)
--- a/lapispass/net/codec.py
+++ b/lapispass/net/codec.py
@@ -1,6 +1,6 @@
-"""The words on the sockets: lines, forms and lists in, events out; orders in, their words out.
+"""Translates between the platform's wire formats and the events and orders of `lapispass.interface`.
 
-No decisions. The names of the wire end here. Whatever cannot be read is a `WireError` and reaches nobody.
+No other module knows the names used on the wire. A malformed message raises `WireError` and yields no event.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from lapispass.deployment import LOAD_FIELDS
 
 STATES = {"Ready": "ready", "Terminating": "draining", "Gone": "gone"}
-# Reports name their figures as the deployment's settings do, or as the protocol's page does.
+# Load reports use the field names of the deployment's settings, or those of the protocol's specification.
 LOAD_NAMES = LOAD_FIELDS | {
     "inflight": "held",
     "queue": "waiting",
@@ -25,63 +25,64 @@
     "qps": "completed_per_s",
     "eps": "failed_per_s",
 }
-MAX_NUMBER = 1e9  # above any count or span in milliseconds that means something
-MAX_UNIX_MS = 1e13  # the same for a moment
+MAX_NUMBER = 1e9  # larger than any plausible count or duration in milliseconds
+MAX_UNIX_MS = 1e13  # larger than any plausible time in milliseconds since the epoch
 BARRIER_NUMBERS = 1 << 16
-SEPARATORS = re.compile(r"[,;\r\n]")  # what separates on the wire, and so no id holds
-SIZE_BOUNDS = (1e-3, 1e3)  # of servers, one to the other
+SEPARATORS = re.compile(r"[,;\r\n]")  # separators on the wire, which an id must not contain
+SIZE_BOUNDS = (1e-3, 1e3)  # the range of a server's relative size
 
 
 class WireError(Exception):
-    """A message that does not follow the wire."""
+    """A malformed message."""
 
 
 class RegistryMessage(NamedTuple):
-    """A message of the registry."""
+    """One message of the registry: the whole server list (`whole`) or changes to it."""
 
     version: int
     whole: bool
     entries: tuple[interface.RegistryEntry, ...]
     addresses: dict[interface.BackendId, str]
-    unreadable: int
+    unreadable: int  # how many entries were malformed and left out
 
 
 def parse_number(value: Any, most: float = MAX_NUMBER) -> float:
-    """A number from 0 up that means something."""
+    """A number from 0 to `most`; a `WireError` for anything else."""
     if isinstance(value, bool):
-        raise WireError(f"no figure: {value!r}")
+        raise WireError(f"expected a number, got {value!r}")
     try:
         number = float(value)
-    except OverflowError:  # a whole number of hundreds of digits
-        raise WireError("figure beyond all measure") from None
-    if not 0 <= number <= most:  # also false for what is not a number
-        raise WireError(f"figure {value!r}")
+    except OverflowError:  # an integer of hundreds of digits
+        raise WireError("expected a number, got an integer that is too large") from None
+    if not 0 <= number <= most:  # also true for NaN
+        raise WireError(f"expected a number from 0 to {most:g}, got {value!r}")
     return number
 
 
 def parse_integer(value: Any) -> int:
     number = parse_number(value)
     if number != int(number):
-        raise WireError(f"no whole number: {value!r}")
+        raise WireError(f"expected an integer, got {value!r}")
     return int(number)
 
 
 def parse_flag(value: str) -> bool:
     if value not in ("0", "1"):
-        raise WireError(f"neither 0 nor 1: {value!r}")
+        raise WireError(f"expected 0 or 1, got {value!r}")
     return value == "1"
 
 
 def parse_milliseconds(value: Any) -> int:
-    """Milliseconds on the wire, whole microseconds inside."""
+    """Converts milliseconds, as used on the wire, to whole microseconds."""
     return round(parse_number(value) * 1000)
 
 
 class Codec:
-    """Reads and writes for one deployment.
+    """Parses and formats the messages of one deployment.
 
-    Marks begin at another number on the wire in each life of a controller: an answer to a mark of an earlier
-    life, still on its way after a restart, must not pass for one to a mark of this life.
+    Each incarnation of a controller numbers its barriers on the wire from a different start, `first_barrier`.
+    After a restart, a late acknowledgement of an earlier incarnation's barrier must not be mistaken for an
+    acknowledgement of a current one.
     """
 
     def __init__(self, deployment: interface.Deployment, id_bytes: int, first_barrier: int = 0) -> None:
@@ -90,23 +91,24 @@
 
     def _parse_id(self, value: Any) -> str:
         if not isinstance(value, str) or not 0 < len(value) <= self.id_bytes or SEPARATORS.search(value):
-            raise WireError(f"no id: {str(value)[:40]!r}")
+            raise WireError(f"expected a short id without separators, got {str(value)[:40]!r}")
         return value
 
-    def _parse_index(self, value: str, most: int) -> int:
+    def _parse_index(self, value: str, end: int) -> int:
         number = parse_integer(value)
-        if number >= most:
-            raise WireError(f"{number} where {most} is the end")
+        if number >= end:
+            raise WireError(f"expected an index below {end}, got {number}")
         return number
 
     def _read_zone(self, value: dict[str, Any]) -> Any:
-        """The zone that a message names; where the settings name none, it may be left out."""
+        """The zone in a message; it may be missing if the settings have no zones."""
         return value["locality"] if self.deployment.zones else value.get("locality") or ""
 
     def parse_load(self, text: str, between: str) -> tuple[float | None, ...] | None:
-        """A load report in the order of the deployment's fields.
+        """Parses a load report into values in the order of the deployment's load fields.
 
-        What is missing is None; one figure that cannot be read makes the whole report None.
+        Missing values are None, and the result is None if all are missing. One malformed value makes the
+        whole report malformed.
         """
         pairs = (pair.strip().partition(between) for pair in text.split(","))
         found = {LOAD_NAMES.get(name, name): value for name, _, value in pairs}
@@ -126,11 +128,14 @@
         return value
 
     def parse_report(self, line: memoryview, joined: bool) -> tuple[str, str | interface.Event]:
-        """A collector's line: its kind, and the zone that it joins for, or the event. Joining comes first."""
+        """Parses a collector's line into its kind and the event, or for `SOURCE` the zone that it joins.
+
+        Until the collector has joined, `SOURCE` is the only kind accepted.
+        """
         try:
             kind, *words = str(line, "utf-8").split()
             if not joined and kind != "SOURCE":
-                raise WireError(f"{kind[:40]!r} before a joining")
+                raise WireError(f"expected SOURCE first, got {kind[:40]!r}")
             value = dict(word.split("=", 1) for word in words)
             match kind:
                 case "SOURCE":
@@ -138,7 +143,7 @@
                 case "LOAD":
                     tries, lost = parse_integer(value["total"]), parse_integer(value["errors"])
                     if lost > tries:
-                        raise WireError(f"{lost} of {tries} failed")
+                        raise WireError(f"more failures than requests: {lost} of {tries}")
                     load = self.parse_load(value["metrics"], ":") if value.get("metrics") else None
                     return kind, interface.ServerReport(
                         self._parse_id(value["endpoint"]),
@@ -152,7 +157,7 @@
                 case "SHARD":
                     if value["route"] not in self.classes:
                         raise WireError(f"unknown class {value['route'][:40]!r}")
-                    # More may fail than came: what came in an interval may fail in the next.
+                    # There may be more failures than requests: a request may fail in a later interval.
                     return kind, interface.RequestReport(
                         self._parse_index(value["shard"], self.deployment.slices),
                         value["route"],
@@ -161,13 +166,13 @@
                         parse_milliseconds(value["interval"]),
                     )
             raise WireError(f"unknown kind {kind[:40]!r}")
-        except (KeyError, ValueError, IndexError) as error:  # a UnicodeError is a ValueError
+        except (KeyError, ValueError, IndexError) as error:  # UnicodeError is a ValueError
             raise WireError(f"{type(error).__name__} {error}") from None
 
-    # the relay's news
+    # the relay's event stream
 
     def parse_event(self, kind: str, data: str) -> interface.Event | None:
-        """One event of the relay's stream; None for a kind that means nothing here."""
+        """Parses one event of the relay's event stream; None if its kind is unknown."""
         try:
             value = parse_form(data)
             match kind:
@@ -207,7 +212,7 @@
     # the registry
 
     def parse_registry_text(self, text: str | bytes | bytearray | memoryview) -> RegistryMessage:
-        """A list or a line of changes. An entry that can't be read is left out and counted."""
+        """Parses a server list or a line of a watch. Malformed entries are left out and counted."""
         try:
             return self.parse_registry_message(
                 json.loads(text if isinstance(text, str) else str(text, "utf-8"))
@@ -216,6 +221,7 @@
             raise WireError(f"{type(error).__name__} {error}") from None
 
     def parse_registry_message(self, message: Any) -> RegistryMessage:
+        """As `parse_registry_text`, for decoded JSON."""
         try:
             version, complete, members = (
                 parse_integer(message["revision"]),
@@ -223,11 +229,10 @@
                 message["members"],
             )
             if not isinstance(members, list):
-                raise WireError("members are no list")
-            if not isinstance(
-                complete, bool
-            ):  # "false" would pass for the whole, and what it leaves out for gone
-                raise WireError(f"complete {str(complete)[:40]!r}")
+                raise WireError("expected members to be a list")
+            # The text "false" is truthy: changes would pass for a whole list, and all other servers for gone.
+            if not isinstance(complete, bool):
+                raise WireError(f"expected true or false for complete, got {str(complete)[:40]!r}")
         except (KeyError, TypeError, ValueError) as error:
             raise WireError(f"{type(error).__name__} {error}") from None
         entries: list[interface.RegistryEntry] = []
@@ -235,7 +240,7 @@
         for member in members:
             try:
                 name = self._parse_id(member["id"])
-                # A start is a moment: it exceeds every span, and was once refused as too large a figure.
+                # A start time exceeds any plausible duration, so it needs a bound of its own.
                 born = round(parse_number(member.get("up_since_ms") or 0, MAX_UNIX_MS) * 1000)
                 size = parse_number(member.get("size") or 0)
                 entries.append(
@@ -256,7 +261,7 @@
     # orders
 
     def format_order(self, order: interface.Order) -> str:
-        """One order as the relay reads it."""
+        """Formats one order for the relay."""
         match order:
             case interface.SetTableEntry(table, backend, weight):
                 return f"SET,{table},{backend},{format_number(weight)}"
@@ -266,17 +271,17 @@
                 return f"{'OUT' if out else 'IN'},{backend}"
             case interface.SetAdmission(table, classes, retry, share):
                 names = [
-                    kind.name for place, kind in enumerate(self.deployment.classes) if classes >> place & 1
+                    kind.name for index, kind in enumerate(self.deployment.classes) if classes >> index & 1
                 ]
                 tables = "*" if table is None else table
                 return f"LIMIT,{tables},{'+'.join(names) or '*'},{format_number(share)},{retry}"
             case interface.Barrier(number, every_proxy):
                 return f"SYNC,{(number + self.first_barrier) % BARRIER_NUMBERS},{int(every_proxy)}"
-        raise TypeError(f"the relay knows no such order: {order!r}")
+        raise TypeError(f"not an order for the relay: {order!r}")
 
 
 def parse_form(data: str) -> dict[str, str]:
-    """The fields of a form; most come in thousands a second and have nothing escaped."""
+    """Parses a form. The fast path matters: thousands arrive each second, and few have escapes."""
     if "%" in data or "+" in data:
         return dict(parse_qsl(data, keep_blank_values=True, strict_parsing=True))
     return dict(word.split("=", 1) for word in data.split("&"))
@@ -287,16 +292,16 @@
 
 
 def call_body(orders: Iterable[str]) -> bytes:
-    """The form of a relay call."""
+    """The body of a relay call: a form with the orders."""
     return f"Action=ApplyOrders&orders={quote_plus(';'.join(orders))}".encode()
 
 
 class CallRejected(Exception):
-    """The relay turned a call back; none of it was carried out."""
+    """The relay rejected a call and applied none of its orders."""
 
 
 def parse_call_answer(answer: bytes) -> int:
-    """How many orders the relay says it took; `CallRejected` with its word if it turned the call back."""
+    """How many orders the relay applied; raises `CallRejected` with the reason if it rejected the call."""
     try:
         root = ElementTree.fromstring(answer)
     except (ElementTree.ParseError, ValueError, LookupError) as error:
@@ -311,4 +316,4 @@
     for word in ("throttled", "invalid"):
         if word in text.lower():
             raise CallRejected(word)
-    raise WireError(f"neither a count nor a refusal: {text[:80]!r}")
+    raise WireError(f"expected a count of orders or an error code, got {text[:80]!r}")
--- a/lapispass/net/launch.py
+++ b/lapispass/net/launch.py
@@ -1,4 +1,4 @@
-"""What the platform tells a controller at its start, read from the environment and the file it names."""
+"""Reads the configuration of a controller from the environment and the file that `LB_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class BadStart(Exception):
-    """Something at the start is missing or wrong; the text names it in one line.
+    """The configuration is missing or invalid; the message is one line that names the cause.
 
-    `is_transient` where it is a call that failed, and may not the next time.
+    `is_transient`: a system call failed, and may succeed when it is tried again.
     """
 
     def __init__(self, text: str, is_transient: bool = False) -> None:
@@ -28,13 +28,13 @@
 
 
 def is_transient(error: Exception) -> bool:
-    """Whether a further attempt may succeed."""
+    """Whether another attempt may succeed."""
     return isinstance(error, BadStart) and error.is_transient
 
 
 @dataclass(frozen=True, slots=True)
 class Launch:
-    """All that a `Service` needs; read at the start, and again when the file has been replaced."""
+    """All that a `Service` needs. It is read at the start and again after the file has been replaced."""
 
     name: str
     listen: str
@@ -47,50 +47,51 @@
 
     @classmethod
     async def read_with_retries(cls, environment: Mapping[str, str]) -> Launch:
-        """As `read`, which is tried again for `Limits.bind_us` while the file cannot be read."""
+        """Calls `read`, and retries transient errors for up to `Limits.bind_us`."""
         limits = Limits()
         window = RetryWindow(limits.bind_us / 1e6, limits.retry_min_us / 1e6)
         return await retry(lambda: cls.read(environment), is_transient, window)
 
     @classmethod
     def read(cls, environment: Mapping[str, str]) -> Launch:
-        """From `LB_CONFIG` and the variables beside it.
+        """Reads the file that `LB_CONFIG` names and the other variables; raises `BadStart`.
 
-        Where the registry is, the file says first: a variable cannot change while the process runs.
+        The variables override the file, except for the address of the registry, where the file comes first:
+        it can be replaced while the process runs, and a variable cannot change.
         """
         try:
             path_text = environment["LB_CONFIG"]
             path = Path(path_text)
-            most = Limits().config_bytes
-            if (path.exists() and not path.is_file()) or path.stat().st_size > most:
-                raise ValueError(f"no file of {most} bytes at most")  # a pipe would stop us
+            max_bytes = Limits().config_bytes
+            if (path.exists() and not path.is_file()) or path.stat().st_size > max_bytes:
+                # Reading a pipe would block.
+                raise ValueError(f"expected a regular file of at most {max_bytes} bytes")
             given = json.loads(path.read_text("utf-8"))
         except KeyError as error:
-            raise BadStart(f"variable {error.args[0]} is not set") from None
+            raise BadStart(f"environment variable {error.args[0]} is not set") from None
         except (OSError, ValueError, RecursionError) as error:
             is_transient = isinstance(error, OSError) and error.errno in transient_errors.FILE
             raise BadStart(f"LB_CONFIG {path_text!r}: {type(error).__name__} {error}", is_transient) from None
         if not isinstance(given, dict):
-            raise BadStart(f"LB_CONFIG {path_text!r}: no object")
+            raise BadStart(f"LB_CONFIG {path_text!r}: expected a JSON object")
 
         def required(variable: str, key: str) -> str:
             value = environment.get(variable) or given.get(key)
             if not isinstance(value, str) or not value:
-                raise BadStart(f"neither variable {variable} nor key {key!r} in LB_CONFIG is set")
+                raise BadStart(f"expected text in variable {variable} or in key {key!r} of LB_CONFIG")
             return value
 
         try:
             part = "settings"
-            # Whatever the settings say of discovery: on sockets nobody tells the list to whom has not asked
-            # for it.
+            # Overrides the settings: the real registry sends the list only to those who ask for it.
             deployment = replace(settings.read(given["settings"]), subscribes_to_registry=True)
             part = "limits"
             sockets = settings.SettingsSection(given).section("limits").integer("sockets", 1024)
             limits = Limits.for_sockets(sockets, deployment.proxies, deployment.slices)
             part = "known"
-            listed = settings.SettingsSection(given).section("known").content
+            content = settings.SettingsSection(given).section("known").content
             known = Codec(deployment, limits.id_bytes).parse_registry_message(
-                listed or {"revision": 0, "complete": False, "members": []}
+                content or {"revision": 0, "complete": False, "members": []}
             )
             part = "seed"
             seed = int(str(given["seed"]), 16)
--- a/lapispass/net/probes.py
+++ b/lapispass/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes of servers, as the module asks for them."""
+"""Probes servers when the controller orders it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,10 @@
 
 
 class Probes:
-    """At most one probe of a server at a time, and so many of all; the others wait in line, first come first
-    served.
+    """Runs at most one probe of a server at a time, and at most `Limits.probes` in all.
 
-    Guards against a zone that fell silent: its servers' probes took all places each second, always the same
-    ones first, and others were never probed.
+    Further probes wait in a queue, first come, first served. Without the queue, the probes of a zone that
+    does not answer could use up all slots each second, and other servers would never be probed.
     """
 
     def __init__(
@@ -31,7 +30,7 @@
         self.deliver, self.codec, self.limits, self.counters = deliver, codec, limits, counters
         self.log = PartLogger("probes", limits.log_every_us)
         self.under_way: dict[interface.BackendId, asyncio.Task[None]] = {}
-        self.queue: dict[interface.BackendId, str] = {}  # those that wait, with their addresses
+        self.queue: dict[interface.BackendId, str] = {}  # servers waiting for a probe, with addresses
 
     def start(self, backend: interface.BackendId, address: str | None) -> None:
         if (
@@ -40,16 +39,16 @@
             or address is None
             or (len(self.queue) >= self.limits.servers)
         ):
-            self.counters["probes.left_out"] += 1  # the module asks again
+            self.counters["probes.left_out"] += 1  # the controller orders another one
             self.log.rate_limited(
-                "probe left out", server=backend, address=address, under_way=len(self.under_way)
+                "probe skipped", server=backend, address=address, under_way=len(self.under_way)
             )
             return
         self.queue[backend] = address
         self.start_queued()
 
     def start_queued(self) -> None:
-        """Begins the next in line where there is room."""
+        """Starts queued probes while fewer than `Limits.probes` are under way."""
         while self.queue and len(self.under_way) < self.limits.probes:
             backend, address = next(iter(self.queue.items()))
             del self.queue[backend]
@@ -57,21 +56,21 @@
             self.under_way[backend] = asyncio.create_task(self.probe(backend, address))
 
     def forget(self, backend: interface.BackendId) -> None:
-        """The server is another (a new address or a restart): the old one's answer tells nothing of it."""
+        """Cancels the probe of a server that has a new address or was restarted: its answer is outdated."""
         self.queue.pop(backend, None)
         if task := self.under_way.get(backend):
             self.counters["probes.outdated"] += 1
-            task.cancel()  # the module asks again
+            task.cancel()  # the controller orders another one
 
     def close(self) -> list[asyncio.Task[None]]:
-        """Begins no further one; those under way are the caller's to end."""
+        """Empties the queue. Returns the probes under way, which the caller must cancel."""
         self.queue.clear()
         return [*self.under_way.values()]
 
     async def probe(self, backend: interface.BackendId, address: str) -> None:
-        """The life of a probe."""
+        """Makes one probe and delivers its result."""
         began, load, connection, made = time.monotonic_ns(), None, None, True
-        reason = UNREACHABLE  # until the connection stands
+        reason = UNREACHABLE  # until the connection is established
         try:
             connection = await HttpConnection.open(address, self.limits)
             reason = CONNECTION_FAILED
@@ -79,11 +78,11 @@
             reason = {200: ANSWERED, 503: REJECTED}.get(status, ERROR)
             if status == 200 and self.codec.deployment.load_fields:
                 load = self.codec.parse_load(body.decode(errors="replace"), "=")
-        except WireError:  # a report that is spoilt: the probe was answered all the same
+        except WireError:  # a malformed report; the probe was answered all the same
             self.counters["probes.unreadable"] += 1
         except TimeoutError:
-            reason = TIMED_OUT  # also where the dial took too long: nothing was refused
-        except (*CONNECTION_ERRORS, ValueError) as error:  # ValueError: the list gave no address
+            reason = TIMED_OUT  # also if connecting took too long: the server refused nothing
+        except (*CONNECTION_ERRORS, ValueError) as error:  # ValueError: the address is malformed
             if connection is None and isinstance(error, OSError):
                 made = error.errno not in transient_errors.LOCAL
                 reason = TIMED_OUT if error.errno in transient_errors.ROUTE else UNREACHABLE
@@ -94,9 +93,9 @@
                 connection.close()
             self.under_way.pop(backend, None)
             self.start_queued()
-        if not made:  # it tells nothing of the server; the module asks again
+        if not made:  # says nothing about the server; the controller orders another one
             self.counters["probes.not_made"] += 1
-            self.log.rate_limited("probe not made", server=backend, address=address)
+            self.log.rate_limited("probe failed locally", server=backend, address=address)
             return
         self.counters[f"probes.reason_{reason}"] += 1
         took_us = (time.monotonic_ns() - began) // 1000
--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -1,4 +1,4 @@
-"""The controller on sockets: gathers events, hands them to the module in turns, carries out its orders."""
+"""Runs a controller on sockets: collects events, passes them to it in turns and carries out its orders."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
 
 class AdditionalFront(Protocol):
-    """A further front that follows the turns, as `Service.additional_fronts`."""
+    """A front end that serves another protocol for the same controller; see `Service.additional_fronts`."""
 
     def turn_taken(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
-        """A turn was taken on these events; its orders are about to be carried out."""
+        """The controller has taken a turn on these events; its orders are about to be carried out."""
 
     async def run(self) -> None:
-        """Serves until it is cancelled; what it raises ends the service."""
+        """Serves until it is cancelled. An exception ends the service."""
 
 
 class Service:
-    """One controller. Embed it with `await Service(launch).run()`; `stop()` ends that."""
+    """One controller on sockets. Embed it with `await Service(launch).run()`; `stop()` ends it."""
 
     def __init__(self, launch: Launch) -> None:
         self.launch, self.limits, self.clock = launch, launch.limits, Clock()
         self.log, self.counters = PartLogger("service", self.limits.log_every_us), Counters()
         self.inbox: list[interface.Event] = []
-        self.timers: dict[int, int] = {}  # token: when
+        self.timers: dict[int, int] = {}  # token: when it fires
         self.event_arrived, self.stop_requested = asyncio.Event(), asyncio.Event()
         codec = Codec(launch.deployment, self.limits.id_bytes, launch.seed % BARRIER_NUMBERS)
         common = (codec, self.limits, self.counters)
@@ -63,20 +63,21 @@
         self.additional_fronts: list[AdditionalFront] = []
 
     def deliver(self, event: interface.Event) -> None:
-        """Takes an event for the next turn.
+        """Queues an event for the next turn.
 
-        Guards against an inbox without bound while no turn is taken: first sums are left out, and in the end
-        whoever tells more is cut off (`InboxFull`), and asks later for all that stands.
+        The inbox is bounded, since no turn may be taken for a while. When it is full, summed reports are
+        dropped. At twice that size `InboxFull` is raised: the source of the event closes its connection, and
+        reads a full snapshot later.
         """
         waiting = len(self.inbox)
         if waiting >= self.limits.events and isinstance(
             event, interface.ServerReport | interface.RequestReport | interface.ProbeResult
         ):
             self.counters["service.events_left_out"] += 1
-            self.log.rate_limited("sums left out", waiting=waiting)
+            self.log.rate_limited("reports dropped: inbox full", waiting=waiting)
             return
         if waiting >= 2 * self.limits.events and event != interface.RegistryUpdate("lost", ()):
-            raise InboxFull(f"{waiting} events wait")
+            raise InboxFull(f"{waiting} events are queued")
         if isinstance(event, interface.StoredOwner | interface.ServerReport):
             self.registry.note_mention(event.backend)
         self.inbox.append(event)
@@ -90,12 +91,12 @@
         self.log.info("counters", **self.counters.fields(), **failed, **{"log.lost": lost()})
 
     async def run(self) -> None:
-        """Serves until `stop()`; a fault in the module is raised."""
+        """Serves until `stop()`; an exception in the controller is raised."""
         if not await self.listen():
             return
         tasks = [
-            asyncio.create_task(life)
-            for life in (
+            asyncio.create_task(work)
+            for work in (
                 self.event_stream.run(),
                 self.registry.run(),
                 self.run_turns(),
@@ -116,7 +117,7 @@
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                task.result()  # raises what ended it
+                task.result()  # raises its exception, if any
             self.log.info("ended")
         finally:
             self.collectors.stop_listening()
@@ -130,10 +131,10 @@
             self.print_counters()
 
     async def listen(self) -> bool:
-        """Takes the listening address; False where it was stopped before it had that.
+        """Binds the listening address; False if the service was stopped before that succeeded.
 
-        Guards against a restart while the process before still holds the address: its end is waited for. So
-        is the end of what fails for a moment (descriptors, memory, an address that is not up yet).
+        After a restart, the previous process may still hold the address. This and other transient errors are
+        retried for up to `Limits.bind_us`: no descriptors, no memory, an address that is not up yet.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + self.limits.bind_us / 1e6
@@ -152,9 +153,10 @@
         return False
 
     async def follow(self, launch: Launch) -> None:
-        """Goes by a configuration that was replaced: to where relay and registry are now, under load.
+        """Applies a changed configuration while serving: connects to new addresses of relay and registry.
 
-        The rest is what all state was made from; it is followed after a restart, and named here.
+        All other settings shaped the present state and take effect after a restart; the log line names those
+        that have changed.
         """
         old, self.launch = self.launch, replace(self.launch, relay=launch.relay, registry=launch.registry)
         rest = [
@@ -169,7 +171,7 @@
         ]
         self.counters["service.reloads"] += 1
         self.log.info(
-            "configuration read again",
+            "configuration reloaded",
             relay=launch.relay,
             registry=launch.registry,
             **({"after_a_restart": ",".join(rest)} if rest else {}),
@@ -181,7 +183,7 @@
             self.registry.move(launch.registry)
 
     async def run_turns(self) -> None:
-        """One turn after the other: waits, gathers, asks the module, carries out what it orders."""
+        """Takes turns: waits, collects events, runs the controller and carries out its orders."""
         last = 0
         while True:
             await self.wait_for_turn(last + self.launch.deployment.turn_interval_us)
@@ -201,7 +203,7 @@
     def count_turn(
         self, now: int, events: Sequence[interface.Event], orders: Sequence[interface.Order]
     ) -> None:
-        """Counts what a turn was told and ordered."""
+        """Counts the events and orders of a turn."""
         self.counters["service.turns"] += 1
         self.counters["service.events"] += len(events)
         self.figures.turn_took(self.clock.now() - now)
@@ -212,36 +214,38 @@
         self.slice_report.turned(now)
 
     def log_delays(self, began: int) -> None:
-        """Logs what a reader of the log must know of time: a turn that took long, a wall clock that was
-        stepped. Nothing is decided by it."""
+        """Logs slow turns and steps of the wall clock, which a reader of the log needs to know.
+
+        They affect no decision.
+        """
         if (took_us := self.clock.now() - began) > self.limits.late_us:
             self.counters["service.slow_turns"] += 1
-            self.log.rate_limited("turn slow", took_us=took_us)
+            self.log.rate_limited("slow turn", took_us=took_us)
         if abs(step_us := self.clock.wall_step_us()) > self.limits.clock_step_us:
             self.counters["service.clock_steps"] += 1
-            self.log.warn("wall clock stepped", by_us=step_us)
+            self.log.warn("wall clock was stepped", by_us=step_us)
 
     async def wait_for_turn(self, earliest: int) -> None:
-        """Until there is news or a wake-up is due, but no sooner than the shortest interval between turns."""
-        entered, wake = self.clock.now(), min(self.timers.values(), default=None)
+        """Waits until an event is queued or a timer is due; keeps the shortest interval between turns."""
+        entered, timer_at = self.clock.now(), min(self.timers.values(), default=None)
         if not self.inbox:
-            wait = None if wake is None else max(0, wake - self.clock.now()) / 1e6
+            wait = None if timer_at is None else max(0, timer_at - self.clock.now()) / 1e6
             try:
                 async with asyncio.timeout(wait):
                     await self.event_arrived.wait()
             except TimeoutError:
                 pass
         now = self.clock.now()
-        expected = max(entered, earliest, now if wake is None else min(now, wake))
+        expected = max(entered, earliest, now if timer_at is None else min(now, timer_at))
         await asyncio.sleep(max(0, earliest - self.clock.now()) / 1e6)
-        # Guards against acting on old news when the process stood still: what waits is read first.
+        # After a stall of the process, what arrived meanwhile is read first: queued events are outdated.
         if self.clock.now() - expected > self.limits.late_us:
             self.counters["service.late_turns"] += 1
-            self.log.rate_limited("turn late", late_us=self.clock.now() - expected)
+            self.log.rate_limited("late turn", late_us=self.clock.now() - expected)
             await asyncio.sleep(self.launch.deployment.turn_interval_us / 1e6)
 
     async def carry_out(self, orders: list[interface.Order]) -> None:
-        """The turn's orders; those for proxies are one relay call, settled before the next turn."""
+        """Carries out a turn's orders. Those for proxies go in one relay call, settled before it returns."""
         for_proxies: list[interface.Order] = []
         for order in orders:
             match order:
@@ -255,7 +259,7 @@
                     self.registry.follow()
                 case interface.BindProxy():
                     self.counters["service.orders_unknown"] += 1
-                    self.log.rate_limited("order unknown", order=order)
+                    self.log.rate_limited("unknown order", order=order)
                 case _:
                     for_proxies.append(order)
         if for_proxies:
@@ -269,14 +273,13 @@
     joined: Callable[[Launch], Launch] = lambda launch: launch,
     attach: Callable[[Service], None] = lambda service: None,
 ) -> None:
-    """A whole process: signals, the configuration and the service.
+    """Runs a whole process: signals, the configuration and the service.
 
-    `joined` completes what was read, `attach` sets further fronts beside the service.
+    `joined` completes a configuration after each read. `attach` adds further front ends to the service.
     """
     loop, replaced = asyncio.get_running_loop(), asyncio.Event()
-    loop.add_signal_handler(
-        signal.SIGHUP, replaced.set
-    )  # first: a file replaced while it is read is read again
+    # Set first, so that a file replaced while it is being read is read again.
+    loop.add_signal_handler(signal.SIGHUP, replaced.set)
     service = Service(joined(await Launch.read_with_retries(environment)))
     attach(service)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -295,23 +298,23 @@
     replaced: asyncio.Event,
     joined: Callable[[Launch], Launch] = lambda launch: launch,
 ) -> None:
-    """Reads the configuration again when told so, one reading after the other; a bad one changes nothing."""
+    """Reloads the configuration whenever `replaced` is set; an invalid one changes nothing."""
     while await replaced.wait():
         replaced.clear()
         try:
             await service.follow(joined(await Launch.read_with_retries(environment)))
         except BadStart as error:
             service.counters["service.reloads_refused"] += 1
-            service.log.warn("configuration refused", why=error)
-        except Exception:  # a fault of our own costs this reading, not the controller
-            service.log.failed("configuration not followed")
+            service.log.warn("configuration rejected", why=error)
+        except Exception:  # a bug must only fail this reload, not the controller
+            service.log.failed("reload failed")
 
 
 def main(
     joined: Callable[[Launch], Launch] = lambda launch: launch,
     attach: Callable[[Service], None] = lambda service: None,
 ) -> int:
-    """The process's status."""
+    """Runs the process; returns its exit status."""
     log.start()
     try:
         run_to_completion(serve(os.environ, joined, attach))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -45,9 +45,9 @@
         process.send_signal(signal.SIGUSR1)
         says("event=counters")
         for text, said in (
-            ("{", "configuration refused"),
+            ("{", "configuration rejected"),
             (json.dumps({**CONFIG, "discovery": "127.0.0.1:2"}), "registry=127.0.0.1:2"),
-            (None, "configuration refused"),
+            (None, "configuration rejected"),
         ):
             file.unlink()
             if text is None:
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -54,7 +54,7 @@
             running.faults.set(Call.OPEN, error, times=3)
             after = len(running.lines)
             running.signal(signal.SIGHUP)
-            await running.wait_for_log("configuration read again", after, limit_s=3)
+            await running.wait_for_log("configuration reloaded", after, limit_s=3)
             assert running.faults.injected(Call.OPEN)
 
 
--- a/tests/test_setup_faults.py
+++ b/tests/test_setup_faults.py
@@ -391,7 +391,7 @@
     await comes_right(world, roll)
     assert len(world.calls) > calls
     running.signal(signal.SIGHUP)
-    await running.wait_for_log("configuration read again", after, limit_s=2)
+    await running.wait_for_log("configuration reloaded", after, limit_s=2)
 
 
 def test_the_controller_works_on_after_sockets_could_not_be_set_up(tmp_path: Path) -> None:
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -142,7 +142,7 @@
     file = tmp_path / "config.json"
     with file.open("wb") as sparse:
         sparse.truncate(LIMITS.config_bytes + 1)
-    with pytest.raises(BadStart, match=f"no file of {LIMITS.config_bytes} bytes at most"):
+    with pytest.raises(BadStart, match=f"expected a regular file of at most {LIMITS.config_bytes} bytes"):
         Launch.read({"LB_CONFIG": str(file)})
 
 
@@ -264,5 +264,5 @@
 
 @pytest.mark.parametrize("odd", [",", ";", "\r", "\n", "a,b", "a;", "\na"])
 def test_an_id_that_holds_what_separates_is_none(odd: str) -> None:
-    with pytest.raises(WireError, match="no id"):
-        Codec(SMALL_DEPLOYMENT, LIMITS.id_bytes)._id(odd)
+    with pytest.raises(WireError, match="expected a short id without separators"):
+        Codec(SMALL_DEPLOYMENT, LIMITS.id_bytes)._parse_id(odd)
