--- a/lapispass/net/registry.py
+++ b/lapispass/net/registry.py
@@ -1,4 +1,4 @@
-"""The registry: the list of servers and the watch on its changes."""
+"""The client of the registry: reads the server list and watches its changes."""
 
 from __future__ import annotations
 
@@ -28,11 +28,12 @@
 
 
 class Progress:
-    """Ends the reading of lists with a TimeoutError where the registry is silent, or too slow with one.
+    """Raises TimeoutError in its body if the registry is idle, or takes too long to send a list or line.
 
-    Guards against bytes that dribble in and never make a line: only a whole one, or the first byte of a next
-    one, is a sign of life. Guards the list of a large fleet, too, which all controllers may ask for at once:
-    one that comes, but not whole in its time, gives the next one twice as long. Silence is given no longer.
+    Bytes may trickle in and never form a line, so only a complete line, or the first byte of the next one,
+    resets the time-out. The list of a large fleet may take long, as all controllers may request it at once:
+    each list that began to arrive but was not complete in time doubles the time for the next one. The idle
+    time-out does not grow.
     """
 
     def __init__(self, registry: Registry, idle_us: int) -> None:
@@ -41,7 +42,7 @@
         self.begun, self.until = False, 0.0
 
     def received(self, whole: bool = False, begun: bool = True) -> None:
-        """A piece has come: whether it ended a line, and whether it has begun another."""
+        """A chunk has arrived: `whole` if it completed a line, `begun` if it began another one."""
         now = self.loop.time()
         if whole or not self.begun:
             doublings = min(self.registry.slow_reads, self.registry.limits.list_doublings)
@@ -63,7 +64,7 @@
 
 
 class Registry:
-    """Follows the list once asked to; a watch that ends is told as lost, and the module asks again."""
+    """Follows the server list on request. When a watch is lost, the controller must request a new one."""
 
     def __init__(
         self,
@@ -76,9 +77,7 @@
         on_replaced: Callable[[interface.BackendId], None] = lambda backend: None,
     ) -> None:
         self.deliver, self.codec, self.limits, self.counters = deliver, codec, limits, counters
-        self.on_replaced = (
-            on_replaced  # is told of a server that is at another address now, or has started anew
-        )
+        self.on_replaced = on_replaced  # called for a server that has a new address or was restarted
         self.endpoint, self.dialer = Endpoint(address, limits, self.connect, self.switch), Dialer(limits)
         self.watch_task: asyncio.Task[None] | None = None
         self.log = PartLogger("registry", limits.log_every_us)
@@ -88,20 +87,20 @@
             entry.backend: entry.started_us or 0 for entry in known.entries
         }
         self.requested, self.watch_open = asyncio.Event(), asyncio.Event()
-        self.unlisted_seen, self.unlisted = asyncio.Event(), None  # a server that only others name
-        self.updated_at = 0.0  # when the list last told something, or a watch was opened
-        self.slow_reads = 0  # lists and lines in a row that were begun and did not come whole in time
+        self.unlisted_seen, self.unlisted = asyncio.Event(), None  # a server that others name, but no list
+        self.updated_at = 0.0  # when the last update arrived or a watch was opened
+        self.slow_reads = 0  # consecutive lists and lines that began to arrive and were not complete in time
         deliver(interface.RegistryUpdate("remembered", known.entries))
 
     def follow(self) -> None:
-        """Asks for the changes from now on; what was missed comes first."""
+        """Requests updates from now on, preceded by what was missed."""
         self.requested.set()
 
     async def run(self) -> None:
-        """One watch after the other, each when it is asked for."""
+        """Runs one watch after the other, each when it is requested."""
         await self.requested.wait()
-        beside = [
-            asyncio.create_task(life) for life in (self.endpoint.follow_moves(), self.renew_idle_watches())
+        others = [
+            asyncio.create_task(work) for work in (self.endpoint.follow_moves(), self.renew_idle_watches())
         ]
         try:
             while True:
@@ -109,41 +108,41 @@
                 self.watch_task = asyncio.create_task(self.watch())
                 await asyncio.wait((self.watch_task,))
                 if self.endpoint.standby:
-                    continue  # it goes on from the version known: nothing is missed
+                    continue  # the new watch starts from the known version: nothing is missed
                 self.counters["registry.lost"] += 1
                 self.deliver(interface.RegistryUpdate("lost", ()))
-                # Guards the list where no turn can ask, as while a relay call is unsettled.
+                # No turn can request a watch while a relay call is unsettled; it is then reopened unasked.
                 watch_reopen_us = int(self.limits.watch_reopen_us * random.uniform(0.8, 1.2))
                 try:
                     await within(watch_reopen_us, self.requested.wait(), 0)
                 except TimeoutError:
                     self.counters["registry.unasked"] += 1
         finally:
-            await cancel_and_wait(*beside, self.watch_task)
+            await cancel_and_wait(*others, self.watch_task)
             self.endpoint.close()
 
     def move(self, address: str) -> None:
-        """Follows the registry to another place; the watch goes on there as soon as it is answered."""
+        """Follows the registry to a new address. The watch continues there as soon as it is answered."""
         self.endpoint.move(address)
 
     def switch(self) -> None:
-        """A connection that stands takes over, whatever the present one is waiting for."""
+        """Restarts the watch over the standby connection."""
         self.requested.set()
         if self.watch_task:
             self.watch_task.cancel()
 
     def note_mention(self, backend: interface.BackendId) -> None:
-        """Somebody else spoke of a server: one that the list never named shows that it moves on elsewhere."""
+        """Another peer mentioned a server. If no list named it, our watch may be behind the registry."""
         if backend not in self.start_times:
             self.unlisted = backend
             self.unlisted_seen.set()
 
     async def renew_idle_watches(self) -> None:
-        """Opens a watch anew that told nothing for long, or seems to be behind, before the old one is left.
+        """Replaces a watch that had no update for long or seems outdated; the old one is used meanwhile.
 
-        Guards against a watch that gives signs of life and nothing else while the list moves on elsewhere:
-        nobody would ever ask again. A registry can take one call of every controller in some seconds, so each
-        asks by its own chance, seldom, and less often where the registry is slow.
+        A watch may send heartbeats and nothing else while the list changes, and nothing else would replace
+        it. The registry can take one call of each controller within some seconds, so renewals are rare, have
+        jitter, and become rarer while the registry is slow.
         """
         loop, limits, every_us, asked_at = (
             asyncio.get_running_loop(),
@@ -158,26 +157,26 @@
                     await self.unlisted_seen.wait()
             except TimeoutError:
                 if loop.time() < self.updated_at + 0.8 * every_us / 1e6:
-                    continue  # it has told something meanwhile
+                    continue  # an update has arrived meanwhile
             else:
                 self.unlisted_seen.clear()
                 await asyncio.sleep(limits.unlisted_us * random.uniform(0.5, 1.5) / 1e6)
                 if self.unlisted in self.start_times or loop.time() < asked_at + 5 * limits.unlisted_us / 1e6:
-                    continue  # the list was a little behind only
+                    continue  # the list was only slightly behind
             if not self.watch_open.is_set():
                 continue
             self.counters["registry.renewals"] += 1
-            self.start_times.setdefault(self.unlisted, 0)  # one that no list names is asked for once
+            self.start_times.setdefault(self.unlisted, 0)  # an unlisted server causes one renewal only
             asked_at = self.updated_at = loop.time()
             try:
                 await self.endpoint.renew()
                 slow = loop.time() - asked_at > limits.watch_renew_slow_us / 1e6
-            except Exception:  # whatever it was: this life must not end
+            except Exception:  # whatever the error, this task must not end
                 slow = True
             every_us = min(2 * every_us, limits.watch_renew_max_us) if slow else limits.watch_renew_us
 
     async def connect(self, address: str) -> HttpConnection:
-        """A connection; its watch is answered, where there is a version to go on from."""
+        """Opens a connection; if a version is known, its watch is started and answered, too."""
         connection = await self.dialer.open(address)
         try:
             if self.version is not None:
@@ -198,10 +197,10 @@
             raise EOFError(f"status {status}")
 
     async def watch(self) -> None:
-        """The life of a watch, from its call to its end."""
+        """Runs one watch from its request to its end."""
         why, connection = "", None
         try:
-            if self.version is None:  # nothing to go on from
+            if self.version is None:  # no version to start from
                 await self.fetch()
             connection = await self.endpoint.connect()
             if connection.watch_from is None:
@@ -212,17 +211,17 @@
             self.watch_open.set()
             lines = LineSplitter(self.limits.list_bytes)
             async with Progress(self, self.limits.watch_idle_us) as progress:
-                while piece := await connection.read_chunk():
-                    whole = 0
-                    for line in lines.split(piece):
-                        whole += 1
+                while chunk := await connection.read_chunk():
+                    complete_lines = 0
+                    for line in lines.split(chunk):
+                        complete_lines += 1
                         if line:
                             self.take(self.codec.parse_registry_text(line), connection)
-                    progress.received(bool(whole), bool(lines.unfinished))
-            raise EOFError("ended")
+                    progress.received(bool(complete_lines), bool(lines.unfinished))
+            raise EOFError("watch ended")
         except (*CONNECTION_ERRORS, WireError, LineTooLong) as error:
             why = f"{type(error).__name__} {error}"
-        except Exception as error:  # a fault of our own costs this watch, not the controller
+        except Exception as error:  # a bug must only cost this watch, not the controller
             why = type(error).__name__
             self.log.failed("watch failed")
         finally:
@@ -237,7 +236,7 @@
         return await connection.answer()
 
     async def fetch(self) -> None:
-        """The whole list, once."""
+        """Reads the whole list once."""
         connection = await self.endpoint.connect()
         try:
             status = await within(self.limits.list_us, self.call(connection, TARGET), self.limits.late_us)
@@ -250,40 +249,40 @@
         self.counters["registry.lists"] += 1
         self.take(self.codec.parse_registry_text(body))
 
-    def take(self, listing: RegistryMessage, connection: HttpConnection | None = None) -> None:
-        """One message of the registry."""
+    def take(self, message: RegistryMessage, connection: HttpConnection | None = None) -> None:
+        """Handles one message of the registry."""
         self.counters["registry.messages"] += 1
-        if listing.unreadable:
-            self.counters["registry.unreadable"] += listing.unreadable
-            self.log.rate_limited("entries unreadable", count=listing.unreadable, version=listing.version)
-        entries = listing.entries[: self.limits.servers]
-        if unknown := len(listing.entries) - len(entries):
+        if message.unreadable:
+            self.counters["registry.unreadable"] += message.unreadable
+            self.log.rate_limited("malformed entries", count=message.unreadable, version=message.version)
+        entries = message.entries[: self.limits.servers]
+        if unknown := len(message.entries) - len(entries):
             self.counters["registry.too_many"] += unknown
             self.log.rate_limited("too many servers", left_out=unknown, most=self.limits.servers)
-        behind = self.version is not None and listing.version < self.version
+        behind = self.version is not None and message.version < self.version
         if connection:
-            if behind and connection.watch_from is not None and connection.watch_from <= listing.version:
-                return  # written before the watch that this one takes over from told more: that is known
+            if behind and connection.watch_from is not None and connection.watch_from <= message.version:
+                return  # the old watch has delivered it already
             connection.watch_from, self.updated_at = None, asyncio.get_running_loop().time()
-        if behind and not listing.whole:
-            # What changed since cannot be told from it: the next watch begins with the whole list.
+        if behind and not message.whole:
+            # Changes to an older version cannot be applied: the next watch begins with the whole list.
             self.version = None
-            raise WireError(f"version went back to {listing.version}")
-        # An entry that can't be read must not pass for one left out, which would mean gone.
-        kind = "whole" if listing.whole and not listing.unreadable and not unknown else "changes"
+            raise WireError(f"list version went back to {message.version}")
+        # A malformed entry must not make its server count as gone, as one missing from a whole list does.
+        kind = "whole" if message.whole and not message.unreadable and not unknown else "changes"
         try:
             self.deliver(interface.RegistryUpdate(kind, entries))
         except InboxFull:
-            self.version = None  # what was not taken in is told again with the whole list
+            self.version = None  # the whole list is read again
             raise
-        self.version, self.slow_reads = listing.version, 0
+        self.version, self.slow_reads = message.version, 0
         for backend, _, _, _, born_us in entries:
-            address = listing.addresses.get(backend, self.addresses.get(backend))
+            address = message.addresses.get(backend, self.addresses.get(backend))
             if address != self.addresses.get(backend) or (
                 born_us and born_us != self.start_times.get(backend, 0)
             ):
                 self.on_replaced(backend)
-            # The one longest unheard of stands first.
+            # Keeps the servers ordered by their last update, the oldest first.
             if self.addresses.pop(backend, None) or address:
                 self.addresses[backend] = address
             known_us = self.start_times.pop(backend, 0)
--- a/lapispass/net/relay.py
+++ b/lapispass/net/relay.py
@@ -1,4 +1,4 @@
-"""The relay: calls that carry orders, and the stream of news."""
+"""The client of the relay: calls that carry orders, and the event stream."""
 
 from __future__ import annotations
 
@@ -28,39 +28,40 @@
 
 
 class FormattedOrder(NamedTuple):
-    """An order in the relay's words, with the slice it speaks of."""
+    """An order as text for the relay, with the slice that it concerns."""
 
     text: str
     slice: int | None
-    backend: interface.BackendId | None  # the owner that the slice has then
+    backend: interface.BackendId | None  # the owner of the slice after the order
 
 
 class Calls:
-    """Carries out orders: one call at a time, each settled before the next is thought of."""
+    """Sends orders to the relay, one call at a time; each is settled before the next one begins."""
 
     def __init__(self, address: str, codec: Codec, limits: Limits, counters: Counters) -> None:
         self.address, self.codec, self.limits, self.counters = address, codec, limits, counters
         self.log = PartLogger("relay", limits.log_every_us)
         self.connection: HttpConnection | None = None
         self.dialer, self.used_at = Dialer(limits), 0.0
-        self.owners: dict[int, interface.BackendId | None] = {}  # each slice's owner, as last told or ordered
-        self.regranted: set[int] = set()  # slices given anew while a call is under way
-        # Held while a turn's calls are not settled, or while the relay tells what stands: a picture taken
-        # with a call under way cannot be compared, since the call may be carried out just after it.
+        self.owners: dict[
+            int, interface.BackendId | None
+        ] = {}  # each slice's owner, as last received or ordered
+        self.regranted: set[int] = set()  # slices granted again while a call is under way
+        # Held until a turn's calls are settled, and while the relay sends a snapshot. A snapshot that is read
+        # during a call cannot be compared, since the call may be applied just after it.
         self.lock = asyncio.Lock()
-        self.on_uncertainty: Callable[[], None] = lambda: (
-            None
-        )  # the store may differ from what was told and ordered
+        # Called when the store may differ from what was received and ordered.
+        self.on_uncertainty: Callable[[], None] = lambda: None
 
     async def carry_out(self, orders: list[interface.Order]) -> None:
-        """A turn's orders, in their order; returns when the relay has taken them all."""
-        self.regranted.clear()  # before the wait: what is given anew from here on was not known to the turn
+        """Sends a turn's orders in sequence; returns when the relay has applied them all."""
+        self.regranted.clear()  # before the wait: the turn does not know of slices granted from here on
         async with self.lock:
             for part in self.split_into_calls(orders):
                 await self.settle(part)
 
     def split_into_calls(self, orders: list[interface.Order]) -> Iterator[list[FormattedOrder]]:
-        """One call, or several where it would be too long; a turn's mark comes last, behind all it covers."""
+        """Splits orders into calls of limited length. A turn's barrier comes last, after all it covers."""
         part: list[FormattedOrder] = []
         size = 0
         for order in orders:
@@ -82,10 +83,10 @@
             yield part
 
     async def settle(self, part: list[FormattedOrder]) -> None:
-        """Calls until it is known that the orders were carried out, or that the relay will not have them.
+        """Repeats a call until its orders are known to be applied, or to be rejected for good.
 
-        A call of unknown outcome is sent again before any later one: each order says how something shall
-        stand, so a second time changes nothing.
+        A call with an unknown outcome is sent again before any later one. This is safe because orders are
+        idempotent: each one sets a state.
         """
         again, short = Backoff(self.limits), -1
         while part := [item for item in part if item.slice not in self.regranted]:
@@ -96,61 +97,60 @@
             try:
                 count = await self.call(codec_module.call_body(item.text for item in part))
                 if count > len(part):
-                    raise WireError(f"{count} of {len(part)} orders taken")
+                    raise WireError(f"relay applied {count} of {len(part)} orders")
             except CallRejected as error:
                 self.counters[f"relay.{error}"] += 1
-                self.log.rate_limited("call turned back", why=error, orders=len(part))
+                self.log.rate_limited("call rejected", why=error, orders=len(part))
                 if str(error) == "invalid":
                     if len(part) == 1:
                         self.leave_out(part[0], "invalid")
                         return
-                    await self.settle(part[: len(part) // 2])  # what can't be read is found by halves
+                    await self.settle(part[: len(part) // 2])  # finds the invalid order by bisection
                     part = part[len(part) // 2 :]
                     continue
                 await again.wait()
             except (*CONNECTION_ERRORS, WireError) as error:
                 self.counters["relay.unknown"] += 1
                 self.log.rate_limited(
-                    "call unsettled", why=f"{type(error).__name__} {error}", orders=len(part)
+                    "call failed, outcome unknown", why=f"{type(error).__name__} {error}", orders=len(part)
                 )
                 await again.wait()
-            except Exception:  # a fault of our own costs this connection, not the controller
+            except Exception:  # a bug must only cost this connection, not the controller
                 self.counters["relay.unknown"] += 1
                 self.log.failed("call failed", orders=len(part))
                 await again.wait()
             else:
                 if any(item.slice in self.regranted for item in part):
-                    self.on_uncertainty()  # was that before or after the slice was given anew?
+                    self.on_uncertainty()  # the order came before or after the new grant
                 if count == len(part):
                     self.counters["relay.orders_taken"] += count
                     return
-                # Guards against a spoilt answer that can be read: a short count is believed when it comes
-                # again.
+                # An answer may be corrupt and still parse: a short count is believed when it is repeated.
                 if count != short:
-                    if short >= 0:  # Guards the relay against calls without a pause where counts differ.
+                    if short >= 0:  # counts differ: no further call without a pause
                         await again.wait()
                     short = count
                     continue
                 self.counters["relay.orders_taken"] += count
-                self.leave_out(part[count], "stopped there")
+                self.leave_out(part[count], "relay stopped at it")
                 part, short = part[count + 1 :], -1
 
     def leave_out(self, item: FormattedOrder, why: str) -> None:
         self.counters["relay.orders_left_out"] += 1
-        self.log.rate_limited("order left out", order=item.text, why=why)
+        self.log.rate_limited("order dropped", order=item.text, why=why)
         if item.slice is not None:
-            self.on_uncertainty()  # the module takes it for done
+            self.on_uncertainty()  # the controller believes that it was applied
 
     async def call(self, body: bytes) -> int:
-        """The life of a call: a connection, the orders, the answer's count."""
+        """Makes one call; returns how many orders the relay applied."""
         loop = asyncio.get_running_loop()
         connection, self.connection = self.connection, None
         idle = loop.time() - self.used_at > self.limits.call_idle_us / 1e6
         if connection and connection.has_unrequested_data:
-            # Guards against an answer that came twice: the second may have passed for that to the next call,
-            # which would count as carried out though nobody knows. What stands is compared.
+            # If an answer arrived twice, the second may have been taken for the answer to the next call, and
+            # that call wrongly counts as applied. Comparing a new snapshot resolves this.
             self.counters["relay.answers_unasked"] += 1
-            self.log.rate_limited("answer unasked")
+            self.log.rate_limited("unrequested answer")
             self.on_uncertainty()
         if connection and (
             not connection.usable
@@ -158,7 +158,7 @@
             or connection.has_unrequested_data
             or connection.address != self.address
         ):
-            # The relay may be about to close a connection that was idle, or it has moved.
+            # The relay may be about to close an idle connection, or has moved.
             connection.close()
             connection = None
         connection = connection or await self.dialer.open(self.address)
@@ -182,7 +182,7 @@
 
 
 class EventStream:
-    """The relay's news. After a gap, what stands is compared with what was known."""
+    """The relay's event stream. After a gap, a snapshot is compared with the state known before."""
 
     def __init__(
         self,
@@ -207,8 +207,10 @@
         self.stream_task: asyncio.Task[None] | None = None
         calls.on_uncertainty = self.restart
         self.joined: set[int] = set()
-        self.snapshot: list[interface.Event] | None = None  # what stands, while the relay is still telling it
-        self.failed, self.malformed = 0, 0  # pictures in a row that did not come whole; that can't be read
+        self.snapshot: list[interface.Event] | None = (
+            None  # the events of the snapshot, while it is being read
+        )
+        self.failed, self.malformed = 0, 0  # consecutive incomplete and malformed snapshots
 
     async def run(self) -> None:
         again = Backoff(self.limits)
@@ -227,81 +229,81 @@
             self.endpoint.close()
 
     def move(self, address: str) -> None:
-        """Follows the relay to another place; what stands there is compared as after any gap."""
+        """Follows the relay to a new address. The snapshot there is compared as after any gap."""
         self.endpoint.move(address)
 
     def switch(self) -> None:
-        """A connection to another place stands: the stream begins anew there, whatever it is waiting for."""
+        """Restarts the stream over the standby connection."""
         if self.stream_task:
             self.stream_task.cancel()
 
     async def stream(self) -> None:
-        """The life of a stream of news, from the call to its end. Nothing is written after the call."""
+        """Reads one event stream from its request to its end. Nothing is sent after the request."""
         why, loop = "", asyncio.get_running_loop()
         try:
             self.connection = connection = await self.endpoint.connect()
             await self.calls.lock.acquire()
             self.snapshot = []
-            # Guards against a relay that needs longer than usual, which would never come to an end: each
-            # attempt that fails gives the next one twice as long. Only what is spent waiting for it counts.
+            # Each failed attempt doubles the time for the next one; otherwise a snapshot that takes longer
+            # would never be completed. Only the time spent waiting for the relay counts.
             snapshot_us = self.limits.snapshot_us << min(self.failed, self.limits.snapshot_doublings)
             left_us = 2 * snapshot_us
             if (status := await within(snapshot_us, self.ask(connection), self.limits.late_us)) != 200:
                 raise EOFError(f"status {status}")
             self.counters["news.opened"] += 1
-            self.log.info("news open", joined=len(self.joined), slices=len(self.calls.owners))
+            self.log.info("event stream open", joined=len(self.joined), slices=len(self.calls.owners))
             lines, kind, data, handled = LineSplitter(self.limits.message_bytes), "", "", 0
-            async with IdleTimeout(self.limits.late_us) as quiet:
+            async with IdleTimeout(self.limits.late_us) as idle:
                 while True:
                     if self.snapshot is None:
-                        piece = await connection.read_chunk()
+                        chunk = await connection.read_chunk()
                     elif left_us <= 0 or len(self.snapshot) > 2 * self.limits.events:
-                        raise TimeoutError("no end to what stands")
+                        raise TimeoutError("snapshot too large or too slow")
                     else:
                         since = loop.time()
-                        piece = await self.read_snapshot_chunk(connection, snapshot_us)
+                        chunk = await self.read_snapshot_chunk(connection, snapshot_us)
                         left_us -= int((loop.time() - since) * 1e6)
-                        if piece is None:
+                        if chunk is None:
                             self.compare()
-                            quiet.extend(self.limits.events_idle_us)
+                            idle.extend(self.limits.events_idle_us)
                             continue
-                    if not piece:
-                        raise EOFError("ended")
-                    for line in lines.split(piece):
+                    if not chunk:
+                        raise EOFError("event stream ended")
+                    for line in lines.split(chunk):
                         if line[:6] == b"event:":
                             kind = str(line[6:], "utf-8").strip()
                         elif line[:5] == b"data:":
                             data = str(line[5:], "utf-8").strip()
                         elif line[:1] == b":":
                             self.compare()
-                        elif not line:  # one that was cut off before its end is none
+                        elif not line:  # an event that is cut off before its end is dropped
                             self.take(kind, data)
                             kind, data = "", ""
-                        # Only whole lines are signs of life: bytes may dribble in that never make one.
+                        # Only a complete line extends the time-out: bytes may trickle in and never form one.
                         if self.snapshot is None:
-                            quiet.extend(self.limits.events_idle_us)
-                    handled += len(piece)
-                    if handled >= self.limits.quantum_bytes:  # a piece that is there already is no wait
+                            idle.extend(self.limits.events_idle_us)
+                    handled += len(chunk)
+                    if handled >= self.limits.quantum_bytes:  # reading a chunk that is there does not yield
                         handled = 0
                         await asyncio.sleep(0)
         except (*CONNECTION_ERRORS, UnicodeError, LineTooLong, WireError) as error:
             why = f"{type(error).__name__} {error}"
-        except Exception as error:  # a fault of our own costs this stream, not the controller
+        except Exception as error:  # a bug must only cost this stream, not the controller
             why = type(error).__name__
-            self.log.failed("news failed")
+            self.log.failed("event stream failed")
         finally:
             self.restart()
-            if self.snapshot is not None:  # told in part only: the next one is compared with what was known
+            if self.snapshot is not None:  # incomplete; the next one is compared instead
                 self.snapshot = None
                 self.failed += 1
                 self.calls.lock.release()
         self.counters["news.lost"] += 1
-        self.log.rate_limited("news lost", why=why)
+        self.log.rate_limited("event stream lost", why=why)
 
     async def read_snapshot_chunk(
         self, connection: HttpConnection, snapshot_us: int
     ) -> bytes | bytearray | None:
-        """A further piece of what stands; None where news pause: the end is not told, so that was all."""
+        """The next chunk of the snapshot; None after a pause, which is the only sign of its end."""
         pause = IdleTimeout(self.limits.late_us)
         try:
             async with pause:
@@ -309,11 +311,11 @@
                 return await connection.read_chunk()
         except TimeoutError:
             if not pause.timeout.expired():
-                raise  # the connection's own
+                raise  # not from `pause` but from the connection
             return None
 
     def restart(self) -> None:
-        """Ends the stream; the next one begins with what stands."""
+        """Ends the stream; the next one begins with a snapshot."""
         if self.connection:
             self.connection.close()
 
@@ -323,18 +325,18 @@
         return await connection.answer()
 
     def take(self, kind: str, data: str) -> None:
-        """One event."""
+        """Handles one event of the stream."""
         if not kind:
             return
         try:
             event = self.codec.parse_event(kind, data)
         except WireError as error:
             self.counters["news.unreadable"] += 1
-            self.log.rate_limited("event unreadable", kind=kind[:40], why=error)
+            self.log.rate_limited("malformed event", kind=kind[:40], why=error)
             if self.snapshot is None:
-                raise  # something has changed unheard: what stands must be told afresh
-            # Guards what is decided on a picture: a proxy or a slice that can't be read would count as gone.
-            # It is asked for again; where it can't be read however often, that is what stands.
+                raise  # a change was missed: a new snapshot is needed
+            # A proxy or slice whose event is malformed would count as gone. The snapshot is requested again;
+            # after `malformed_snapshots` attempts it is accepted without the malformed events.
             self.malformed += 1
             if self.malformed <= self.limits.malformed_snapshots:
                 raise
@@ -348,18 +350,18 @@
             ):
                 self.snapshot.append(event)
                 return
-            self.compare()  # only what happens now can be such news
+            self.compare()  # a snapshot has no events of this kind, so it is complete
         self.pass_on(event)
 
     def pass_on(self, event: interface.Event) -> None:
-        self.deliver(event)  # first: what was not taken in must not count as known
+        self.deliver(event)  # first: an event that the inbox rejects must not count as known
         match event:
             case interface.ProxyJoined(proxy):
                 self.joined.add(proxy)
             case interface.ProxyLeft(proxy):
                 self.joined.discard(proxy)
             case interface.SliceGrant(number, ours):
-                self.calls.regranted.add(number)  # orders from before are void
+                self.calls.regranted.add(number)  # earlier orders are void
                 self.calls.owners.pop(number, None)
                 if ours:
                     self.calls.owners[number] = None
@@ -367,25 +369,25 @@
                 self.calls.owners[number] = backend
 
     def compare(self) -> None:
-        """All that stands has been told: turns the differences from what was known into events."""
+        """The snapshot is complete: delivers its differences from the known state as events."""
         if (snapshot := self.snapshot) is None:
             return
         self.snapshot, self.failed, self.malformed = None, 0, 0
         self.calls.lock.release()
         held = {event.slice: event.backend for event in snapshot if isinstance(event, interface.StoredOwner)}
         ours = {event.slice for event in snapshot if isinstance(event, interface.SliceGrant)}
-        # Guards against a proxy that left and came back in the gap: what it answered before counts no more.
+        # A proxy may have left and rejoined in the gap: its earlier acknowledgements no longer count.
         for proxy in sorted(self.joined):
             self.pass_on(interface.ProxyLeft(proxy))
         for number in sorted(set(self.calls.owners) - ours):
             self.pass_on(interface.SliceGrant(number, False))
         for event in snapshot:
-            if isinstance(event, interface.ProxyJoined):  # its stream may have stood all the time
+            if isinstance(event, interface.ProxyJoined):  # its stream may have lasted all the time
                 self.pass_on(event._replace(reads_store=False))
         for number in sorted(ours):
-            # A slice that still stands as ordered was not given anew; its handover goes on.
+            # A slice whose owner is as ordered was not granted again; its handover continues.
             if number not in self.calls.owners or self.calls.owners[number] != held.get(number):
                 self.pass_on(interface.SliceGrant(number, True))
                 if number in held:
                     self.pass_on(interface.StoredOwner(number, held[number]))
-        self.log.info("picture complete", joined=len(self.joined), slices=len(ours))
+        self.log.info("snapshot complete", joined=len(self.joined), slices=len(ours))
--- a/lapispass/operator/line_numbers.py
+++ b/lapispass/operator/line_numbers.py
@@ -1,4 +1,4 @@
-"""Where each field of a protobuf text file stands: the library's own parse keeps no lines."""
+"""Finds the line of each field in a protobuf text file, which the library's parser does not record."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def line_numbers(text: str) -> dict[str, int]:
-    """The line, from 1, of each field by its path, as in `gate.listen` or `node[2].address` (`node` is the
-    first).
+    """The line number of each field, from 1, by its path: `gate.listen`, `node[2].address`.
 
-    Expects a text that the library has parsed; list values in brackets count as one field.
+    The first `node` is listed both as `node` and as `node[0]`. The text must be one that the library has
+    parsed. A list of values in brackets counts as one field.
     """
     lines: dict[str, int] = {}
     stack: list[tuple[str, dict[str, int]]] = [("", {})]
@@ -43,7 +43,7 @@
                     stack.pop()
                 valued = False
             case "name" | "text" | "number" | "other":
-                valued = token[0] == "["  # a list goes on
+                valued = token[0] == "["  # a list continues
             case _:
                 pass
     return lines
--- a/lapispass/operator/read.py
+++ b/lapispass/operator/read.py
@@ -1,4 +1,4 @@
-"""Reads an operator file, whole or not at all: every error names file, line and field."""
+"""Reads and checks the operator file. Every error names the file, the line and the field."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class BadFile(Exception):
-    """The operator file can't be used; the text has all findings, one a line, as `file:line: field: why`.
+    """The operator file is invalid. The message lists all errors, one a line, as `file:line: field: reason`.
 
-    `is_transient` where it could not be read just now.
+    `is_transient`: a system call failed, and may succeed when it is tried again.
     """
 
     def __init__(self, findings: Iterable[str], is_transient: bool = False) -> None:
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """A file as it was read."""
+    """The content of an operator file, with the line number of each field."""
 
     path: str
     settings: Operator
     lines: dict[str, int]
 
     def at(self, field: str, why: str) -> str:
-        """A finding about a field; where it is missing, the line is that of what should hold it."""
+        """Formats an error. If the field is missing, the line is that of the enclosing message."""
         inner = field
         while inner and inner not in self.lines:
             inner = inner.rpartition(".")[0]
@@ -50,21 +50,21 @@
 
 
 def read_at_start(path: str | Path) -> Source:
-    """As `read`, which is tried again for a while where the file cannot be read."""
+    """Calls `read`, and retries transient errors for a while."""
     return retry_blocking(lambda: read(path), lambda error: isinstance(error, BadFile) and error.is_transient)
 
 
 def read(path: str | Path) -> Source:
-    """The file as its schema has it, checked field by field; a `BadFile` otherwise."""
+    """Reads the file and checks every field; raises `BadFile` with all errors found."""
     where = str(path)
     try:
         if Path(path).stat().st_size > FILE_BYTES:
-            raise BadFile([f"{where}:1: file: over {FILE_BYTES} bytes"])
+            raise BadFile([f"{where}:1: file: larger than {FILE_BYTES} bytes"])
         text = Path(path).read_bytes().decode("utf-8")
     except OSError as error:
         raise BadFile([f"{where}:1: file: {error.strerror}"], error.errno in transient_errors.FILE) from None
     except UnicodeDecodeError as error:
-        raise BadFile([f"{where}:1: file: byte {error.start} is no UTF-8"]) from None
+        raise BadFile([f"{where}:1: file: byte {error.start} is not valid UTF-8"]) from None
     settings = Operator()
     try:
         text_format.Parse(text, settings)
@@ -79,51 +79,51 @@
 
 
 def check(source: Source) -> Iterator[str]:
-    """What no reader of the file could use."""
+    """Yields all errors in the file, formatted by `Source.at`."""
     settings, at = source.settings, source.at
     seen: set[str] = set()
     for index, kind in enumerate(settings.connection_class):
         field = f"connection_class[{index}]" if index else "connection_class"
         if not NAME.match(kind.name):
-            yield at(f"{field}.name", f"{kind.name!r} is no name")
+            yield at(f"{field}.name", f"expected a name, got {kind.name!r}")
         if kind.name in seen:
-            yield at(f"{field}.name", f"{kind.name!r} stands twice")
+            yield at(f"{field}.name", f"{kind.name!r} is listed twice")
         seen.add(kind.name)
         if not kind.path_prefix.startswith("/"):
-            yield at(f"{field}.path_prefix", f"{kind.path_prefix!r} does not begin with /")
+            yield at(f"{field}.path_prefix", f"{kind.path_prefix!r} does not begin with a slash")
         for earlier in settings.connection_class[:index]:
             if earlier.path_prefix and kind.path_prefix.startswith(earlier.path_prefix):
-                yield at(f"{field}.path_prefix", f"never reached: {earlier.name!r} takes all of it")
+                yield at(f"{field}.path_prefix", f"unreachable: {earlier.name!r} matches every such path")
         if kind.HasField("benefit") and not 0 <= kind.benefit < 1e6:
-            yield at(f"{field}.benefit", f"{kind.benefit} is not from 0 to a million")
+            yield at(f"{field}.benefit", f"expected a number from 0 to a million, got {kind.benefit}")
     nodes = settings.nodes
     if nodes.HasField("connections") and not nodes.connections:
-        yield at("nodes.connections", "0 would refuse everyone")
+        yield at("nodes.connections", "0 would reject all connections")
     if nodes.HasField("new_per_s") and not 0 < nodes.new_per_s < 1e6:
-        yield at("nodes.new_per_s", f"{nodes.new_per_s} is not above 0 and under a million")
+        yield at("nodes.new_per_s", f"expected a number above 0 and below a million, got {nodes.new_per_s}")
     if nodes.HasField("cold_share") and not 0 < nodes.cold_share <= 1:
-        yield at("nodes.cold_share", f"{nodes.cold_share} is not above 0 and at most 1")
+        yield at("nodes.cold_share", f"expected a number above 0 and at most 1, got {nodes.cold_share}")
     drain = settings.drain
     terms = drain_terms(settings)
     if terms.grace_us <= terms.margin_us:
         yield at(
             "drain.margin_ms" if drain.HasField("margin_ms") else "drain.grace_ms",
-            "nothing of the grace is left beside the margin",
+            "the margin must be shorter than the grace period",
         )
     if terms.come_back_least_us >= terms.come_back_most_us:
-        yield at("drain.come_back_least_ms", "not under come_back_most_ms")
+        yield at("drain.come_back_least_ms", "must be below come_back_most_ms")
     yield from check_gate(source) if settings.HasField("gate") else ()
     if settings.HasField("gates"):
         if not address(settings.gates.listen):
-            yield at("gates.listen", f"{settings.gates.listen!r} is no host:port")
+            yield at("gates.listen", f"expected host:port, got {settings.gates.listen!r}")
         if not settings.connection_class:
-            yield at("connection_class", "no class: gates could not be planned for")
+            yield at("connection_class", "expected at least one class to plan gates with")
         if not settings.gates.name:
-            yield at("gates.name", "no gate may join")
+            yield at("gates.name", "expected at least one name: no gate could join")
         names: set[str] = set()
         for index, name in enumerate(settings.gates.name):
             if not NAME.match(name) or name in names:
-                why = "stands twice" if NAME.match(name) else "is no name"
+                why = "is listed twice" if NAME.match(name) else "is not a name"
                 yield at(f"gates.name[{index}]", f"{name!r} {why}")
             names.add(name)
     yield from check_alone(source)
@@ -131,65 +131,70 @@
 
 
 def check_alone(source: Source) -> Iterator[str]:
-    """A controller without the platform, and its listener for xDS clients."""
+    """Yields errors in the settings of a controller without the platform and of the xDS server."""
     settings, at, alone = source.settings, source.at, source.settings.alone
     if settings.HasField("xds"):
         if not address(settings.xds.listen):
-            yield at("xds.listen", f"{settings.xds.listen!r} is no host:port")
+            yield at("xds.listen", f"expected host:port, got {settings.xds.listen!r}")
         if settings.xds.HasField("new_per_s") and not 0 < settings.xds.new_per_s < 1e6:
-            yield at("xds.new_per_s", f"{settings.xds.new_per_s} is not above 0 and under a million")
+            yield at(
+                "xds.new_per_s",
+                f"expected a number above 0 and below a million, got {settings.xds.new_per_s}",
+            )
         for field in ("clients", "burst", "late_ms"):
             if settings.xds.HasField(field) and not getattr(settings.xds, field):
-                yield at(f"xds.{field}", "0 is no bound")
+                yield at(f"xds.{field}", "expected a number above 0, got 0")
         if settings.xds.HasField("tls") and not (
             settings.xds.tls.certificate_file and settings.xds.tls.key_file
         ):
-            yield at("xds.tls", "certificate_file and key_file belong together")
+            yield at("xds.tls", "certificate_file and key_file must be given together")
     if not settings.HasField("alone"):
         return
     if not settings.HasField("xds"):
-        yield at("alone", "nobody could be told: there is no xds")
+        yield at("alone", "requires xds: without it there is no client to serve")
     if alone.HasField("shared"):
         if not NAME.match(alone.shared.name):
-            yield at("alone.shared.name", f"{alone.shared.name!r} is no name")
+            yield at("alone.shared.name", f"expected a name, got {alone.shared.name!r}")
         if not address(alone.shared.coordination):
-            yield at("alone.shared.coordination", f"{alone.shared.coordination!r} is no host:port")
+            yield at("alone.shared.coordination", f"expected host:port, got {alone.shared.coordination!r}")
         if alone.shared.HasField("weight") and not 0 <= alone.shared.weight < 1e6:
-            yield at("alone.shared.weight", f"{alone.shared.weight} is not from 0 to a million")
+            yield at(
+                "alone.shared.weight", f"expected a number from 0 to a million, got {alone.shared.weight}"
+            )
     elif not alone.store_file:
-        yield at("alone.store_file", "missing: without shared the assignments are kept here")
+        yield at("alone.store_file", "missing: without shared, this file stores the assignments")
     if not 0 < alone.slices <= 1 << 16:
-        yield at("alone.slices", f"{alone.slices} is not from 1 to {1 << 16}")
+        yield at("alone.slices", f"{alone.slices} slices are not within 1 to {1 << 16}")
     if not settings.node:
-        yield at("node", "a controller without the platform needs its nodes here")
+        yield at("node", "a controller without the platform requires a list of nodes")
     names = [kind.name for kind in alone.visit_class]
     if not names:
-        yield at("alone.visit_class", "no class of visits")
+        yield at("alone.visit_class", "expected at least one class of requests")
     for index, kind in enumerate(alone.visit_class):
         field = f"alone.visit_class[{index}]" if index else "alone.visit_class"
         if not NAME.match(kind.name) or kind.name in names[:index]:
-            yield at(f"{field}.name", f"{kind.name!r} is no name, or stands twice")
+            yield at(f"{field}.name", f"{kind.name!r} is not a name or is listed twice")
         if not 0 < kind.agreed_ms <= kind.patience_ms:
-            yield at(f"{field}.agreed_ms", "not above 0 and at most patience_ms")
+            yield at(f"{field}.agreed_ms", "must be above 0 and at most patience_ms")
     for field in ("lease_ms", "bare_ms"):
         if alone.HasField(field) and getattr(alone, field) < 200:
-            yield at(f"alone.{field}", "under 200")
+            yield at(f"alone.{field}", "must be at least 200")
     if alone.HasField("cold_share") and not 0 < alone.cold_share <= 1:
-        yield at("alone.cold_share", f"{alone.cold_share} is not above 0 and at most 1")
+        yield at("alone.cold_share", f"expected a number above 0 and at most 1, got {alone.cold_share}")
 
 
 def check_gate(source: Source) -> Iterator[str]:
     gate, at = source.settings.gate, source.at
     if not NAME.match(gate.name):
-        yield at("gate.name", f"{gate.name!r} is no name")
+        yield at("gate.name", f"expected a name, got {gate.name!r}")
     for field in ("listen", "controller"):
         value: str = getattr(gate, field)
         if not address(value) and (value or field == "listen"):
-            yield at(f"gate.{field}", f"{value!r} is no host:port")
+            yield at(f"gate.{field}", f"expected host:port, got {value!r}")
     if not 0 < gate.slices <= 1 << 20:
-        yield at("gate.slices", f"{gate.slices} is not from 1 to {1 << 20}")
+        yield at("gate.slices", f"{gate.slices} slices are not within 1 to {1 << 20}")
     if not source.settings.connection_class:
-        yield at("connection_class", "no class: every connection would be refused")
+        yield at("connection_class", "expected at least one class: every connection would be rejected")
     for field in (
         "connections",
         "handshake_ms",
@@ -203,13 +208,13 @@
         "lease_ms",
     ):
         if gate.HasField(field) and not getattr(gate, field):
-            yield at(f"gate.{field}", "0 is no bound")
+            yield at(f"gate.{field}", "expected a number above 0, got 0")
     if gate.HasField("new_per_s") and not 0 < gate.new_per_s < 1e6:
-        yield at("gate.new_per_s", f"{gate.new_per_s} is not above 0 and under a million")
+        yield at("gate.new_per_s", f"expected a number above 0 and below a million, got {gate.new_per_s}")
     if gate.controller and source.settings.node:
-        yield at("node", "nodes come from the controller; only a gate that stands alone names them")
+        yield at("node", "only a standalone gate lists nodes; this one gets them from its controller")
     if not gate.controller and not source.settings.node:
-        yield at("node", "a gate without a controller needs its nodes here")
+        yield at("node", "a gate without a controller requires a list of nodes")
 
 
 def check_nodes(source: Source) -> Iterator[str]:
@@ -218,24 +223,26 @@
     for index, node in enumerate(settings.node):
         field = f"node[{index}]" if index else "node"
         if not NAME.match(node.id) or node.id in nodes:
-            yield at(f"{field}.id", f"{node.id!r} {'stands twice' if node.id in nodes else 'is no name'}")
+            yield at(
+                f"{field}.id", f"{node.id!r} {'is listed twice' if node.id in nodes else 'is not a name'}"
+            )
         nodes.add(node.id)
         if not address(node.address):
-            yield at(f"{field}.address", f"{node.address!r} is no host:port")
+            yield at(f"{field}.address", f"expected host:port, got {node.address!r}")
         if node.HasField("weight") and not 0 <= node.weight < 1e6:
-            yield at(f"{field}.weight", f"{node.weight} is not from 0 to a million")
+            yield at(f"{field}.weight", f"expected a number from 0 to a million, got {node.weight}")
     slices: set[int] = set()
     for index, line in enumerate(settings.line):
         field = f"line[{index}]" if index else "line"
         if line.slice >= max(1, settings.gate.slices) or line.slice in slices:
-            yield at(f"{field}.slice", f"slice {line.slice} stands twice or is not under gate.slices")
+            yield at(f"{field}.slice", f"slice {line.slice} is listed twice or is not below gate.slices")
         slices.add(line.slice)
         if line.owner not in nodes:
-            yield at(f"{field}.owner", f"{line.owner!r} is no node of this file")
+            yield at(f"{field}.owner", f"{line.owner!r} is not a node of this file")
 
 
 def address(text: str) -> bool:
-    """Whether it is `host:port`."""
+    """Whether the text is `host:port`."""
     match = ADDRESS.match(text)
     return match is not None and 0 <= int(match[1]) < 65536
 
@@ -255,34 +262,34 @@
 
 
 def bounds(settings: Operator) -> Bounds:
-    """What a node takes, or the usual where the file is silent."""
-    given, usual = settings.nodes, Bounds()
+    """The bounds on the connections of a node; defaults for fields that the file omits."""
+    given, defaults = settings.nodes, Bounds()
     return Bounds(
-        connections=given.connections if given.HasField("connections") else usual.connections,
-        new_per_s=given.new_per_s if given.HasField("new_per_s") else usual.new_per_s,
-        burst=given.burst if given.HasField("burst") else usual.burst,
-        cold_us=given.cold_ms * MS if given.HasField("cold_ms") else usual.cold_us,
-        cold_share=given.cold_share if given.HasField("cold_share") else usual.cold_share,
+        connections=given.connections if given.HasField("connections") else defaults.connections,
+        new_per_s=given.new_per_s if given.HasField("new_per_s") else defaults.new_per_s,
+        burst=given.burst if given.HasField("burst") else defaults.burst,
+        cold_us=given.cold_ms * MS if given.HasField("cold_ms") else defaults.cold_us,
+        cold_share=given.cold_share if given.HasField("cold_share") else defaults.cold_share,
     )
 
 
 def drain_terms(settings: Operator) -> DrainTerms:
-    given, usual = settings.drain, DrainTerms()
+    given, defaults = settings.drain, DrainTerms()
 
     def us(field: str) -> int:
         name = f"{field}_ms"
-        value: int = getattr(given, name) * MS if given.HasField(name) else getattr(usual, f"{field}_us")
+        value: int = getattr(given, name) * MS if given.HasField(name) else getattr(defaults, f"{field}_us")
         return value
 
     return DrainTerms(us("grace"), us("margin"), us("come_back_least"), us("come_back_most"))
 
 
 def alone(settings: Operator) -> Deployment:
-    """What a controller without the platform goes by; the channel is as wide as streams of its own are."""
+    """The deployment of a controller without the platform. Its own streams hardly limit its messages."""
     given = settings.alone
 
-    def us(field: str, usual_ms: int) -> int:
-        return MS * (getattr(given, field) if given.HasField(field) else usual_ms)
+    def us(field: str, default_ms: int) -> int:
+        return MS * (getattr(given, field) if given.HasField(field) else default_ms)
 
     return Deployment(
         classes=tuple(
@@ -292,7 +299,7 @@
             for kind in given.visit_class
         ),
         zones=tuple(sorted({node.zone for node in settings.node})),
-        proxies=2,  # the store and desk; and whoever acts on what an earlier life has told, for one lease
+        proxies=2,  # the store with the xDS server; clients of an earlier incarnation, for one lease
         slices=given.slices,
         lease_us=us("lease_ms", 3000),
         linger_us=us("write_life_ms", 5000),
@@ -316,7 +323,7 @@
 
 
 def secret(path: str, source: Source, field: str) -> bytes:
-    """What a key file holds; nothing where none is named."""
+    """The content of a key file; empty if `path` is."""
     if not path:
         return b""
     try:
@@ -324,7 +331,7 @@
     except OSError as error:
         raise BadFile([source.at(field, f"{path!r}: {error.strerror}")]) from None
     if not 16 <= len(key) <= 4096:
-        raise BadFile([source.at(field, f"{path!r} holds {len(key)} bytes; 16 to 4096 are a key")])
+        raise BadFile([source.at(field, f"{path!r} has {len(key)} bytes, a key has 16 to 4096")])
     return key
 
 
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -123,9 +123,9 @@
                 assert "connection ended" in line and f"Errno {error}" in line, errno_name(error)
                 after = len(running.lines)
                 running.faults.set(Call.RECEIVE, error, times=4)  # the streams of relay and registry, too
-                await running.wait_for_log("news lost", after, limit_s=5)
+                await running.wait_for_log("event stream lost", after, limit_s=5)
                 running.faults.clear(Call.RECEIVE)
-                await running.wait_for_log("news open", after, limit_s=5)
+                await running.wait_for_log("event stream open", after, limit_s=5)
                 async with asking(running):
                     pass
                 await asyncio.sleep(LINES_OF_A_KIND_S)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -190,7 +190,7 @@
             while True:
                 line = (await process.stderr.readline()).decode()
                 assert line, "it ended"
-                if "picture complete" in line:
+                if "snapshot complete" in line:
                     break
             assert f"joined={proxies} slices={slices}" in line and time.monotonic() - began < 15
             process.send_signal(signal.SIGTERM)
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -111,7 +111,7 @@
     relay = RelayServer()
     relay.faults += ["silent before"] * 99
     async with controller(tmp_path, relay=relay) as running:
-        await running.wait_for_log("news open")
+        await running.wait_for_log("event stream open")
         after = len(running.lines)
         running.signal(signal.SIGSTOP)
         await asyncio.sleep(0.6)
--- a/tests/test_setup_faults.py
+++ b/tests/test_setup_faults.py
@@ -383,7 +383,7 @@
 
 async def all_is_done(running: Controller, world: World, roll: Roll, gone: str, after: int) -> None:
     """News and watch come back, a server that goes is replaced, and the configuration is read again."""
-    await running.wait_for_log("news open", after, limit_s=6)
+    await running.wait_for_log("event stream open", after, limit_s=6)
     await running.wait_for_log("watch open", after, limit_s=6)
     calls = len(world.calls)
     world.leave(0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -150,7 +150,7 @@
     source = operator.read(file)
     assert len(source.settings.node) == MANY and not list(operator.check(source))
     file.write_text(text.replace('id: "n1023"', 'id: "n1"'))
-    with pytest.raises(operator.BadFile, match=r":1038: node\[1023\].id: 'n1' stands twice"):
+    with pytest.raises(operator.BadFile, match=r":1038: node\[1023\].id: 'n1' is listed twice"):
         operator.read(file)
 
 
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -237,7 +237,7 @@
     told = operator.read(file).settings
     assert len(told.node) == SERVERS and len(told.line) == SLICES and len(told.gates.name) == CONTROLLERS
     file.write_text("\n".join(lines).replace('name: "g719"', 'name: "g7"'))
-    with pytest.raises(operator.BadFile, match=r":721: gates.name\[719\]: 'g7' stands twice"):
+    with pytest.raises(operator.BadFile, match=r":721: gates.name\[719\]: 'g7' is listed twice"):
         operator.read(file)
 
 
