--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""The words on the sockets: units and sense of each message, and whatever is odd."""
+"""The codec: the units and the meaning of each message on the wire, and malformed messages."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from lapispass.net.lines import LineSplitter, LineTooLong
 from lapispass.net.registry import Registry
 
-TOLD = deployment(slices=200, proxies=60, zones=("a", "b"), load_fields=("waiting", "busy"))
+DEPLOYMENT = deployment(slices=200, proxies=60, zones=("a", "b"), load_fields=("waiting", "busy"))
 
 
-CODEC = Codec(TOLD, 256)
+CODEC = Codec(DEPLOYMENT, 256)
 
 
 LOAD = "LOAD locality=a endpoint=s-1 total=212 errors=3 rtt=41.7 interval=1000.0"
 
 
-NEWS = [
+EVENTS = [
     ("SUBSCRIBE", "node=17&locality=a&w=21.5&cold=1"),
     ("CLOSED", "node=17"),
     ("GRANT", "shard=88&set=1"),
@@ -66,9 +66,9 @@
     (batch,) = read_batches(io.StringIO("SYNC\t7\t1\n" + "\n".join(lines) + "\nEOF_BATCH\n"))
     heard = [report(LOAD)[1], report("SHARD shard=88 route=look total=40 errors=1 interval=1000.0")[1]]
     assert report("SHARD shard=88 route=look total=0 errors=3 interval=1000.0"), (
-        "what came before may fail now"
+        "a request of an earlier interval may fail now"
     )
-    heard += [CODEC.parse_event(kind, data) for kind, data in NEWS]
+    heard += [CODEC.parse_event(kind, data) for kind, data in EVENTS]
     heard = [event._replace(backend=7) if hasattr(event, "backend") else event for event in heard]
     assert heard == [event for _, event in batch.news]
 
@@ -77,30 +77,29 @@
     met = report(f"{LOAD} metrics=inflight:7,util:0.61,queue:2,odd:x")[1]
     assert isinstance(met, interface.ServerReport) and met.load == (2.0, 0.61)
     assert CODEC.parse_load("inflight=7,util=0.61", "=") == (None, 0.61)
-    # On sockets they come by the names of the settings; only the page's were read, and nothing was known of
-    # queues.
+    # Reports use the field names of the settings. A codec that only knew the others saw no queues.
     assert CODEC.parse_load("pending:2.0,svc_ms:125.884,cpu_share:0.5", ":") == (2.0, 0.5)
     assert CODEC.parse_load("odd=x", "=") is None
-    with pytest.raises(WireError):  # nothing of what is spoilt is believed
+    with pytest.raises(WireError):  # one malformed value makes the report malformed
         CODEC.parse_load("inflight=7,queue=2,util=nan", "=")
 
 
 def test_the_list_is_read_and_a_start_is_a_moment_in_unix_time() -> None:
-    # A start exceeds every span; it was once refused as too large a figure, and with it each new server.
-    told = CODEC.parse_registry_text(
+    # A start time exceeds any duration: the bound for durations made every new server's entry malformed.
+    message = CODEC.parse_registry_text(
         listing(
             MEMBER,
             {**MEMBER, "id": "s-2", "phase": "Terminating", "size": 0, "up_since_ms": START_MS},
             {**MEMBER, "id": "s-3", "phase": "Gone"},
         )
     )
-    assert told.entries == (
+    assert message.entries == (
         interface.RegistryEntry("s-1", "a", "ready", 1.0, None),
         interface.RegistryEntry("s-2", "a", "draining", None, START_MS * MS),
         interface.RegistryEntry("s-3", "a", "gone", 1.0, None),
     )
-    assert (told.version, told.whole, told.unreadable) == (43, False, 0)
-    assert told.addresses["s-2"] == "127.0.0.1:3000"
+    assert (message.version, message.whole, message.unreadable) == (43, False, 0)
+    assert message.addresses["s-2"] == "127.0.0.1:3000"
 
 
 @pytest.mark.parametrize(
@@ -114,8 +113,8 @@
     ],
 )
 def test_an_odd_entry_is_left_out_and_counted(odd: dict) -> None:
-    told = CODEC.parse_registry_text(listing({**MEMBER, **odd}, {**MEMBER, "id": "s-2"}, 5))
-    assert [entry.backend for entry in told.entries] == ["s-2"] and told.unreadable == 2
+    message = CODEC.parse_registry_text(listing({**MEMBER, **odd}, {**MEMBER, "id": "s-2"}, 5))
+    assert [entry.backend for entry in message.entries] == ["s-2"] and message.unreadable == 2
 
 
 @pytest.mark.parametrize(
@@ -190,7 +189,7 @@
 
 def test_nothing_from_outside_makes_the_module_fail() -> None:
     chance = random.Random(5)
-    controller, now, events = Controller(TOLD, 1, 0), 0, []
+    controller, now, events = Controller(DEPLOYMENT, 1, 0), 0, []
     texts = [
         LOAD + " metrics=util:0.5,queue:9",
         "SHARD shard=8 route=pay total=4 errors=1 interval=2000",
@@ -211,10 +210,10 @@
             if choice == 0:
                 events.append(report(spoilt(chance.choice(texts[:2])))[1])
             elif choice == 1:
-                told = CODEC.parse_registry_text(spoilt(chance.choice(texts[2:])))
-                events.append(interface.RegistryUpdate(("changes", "whole")[told.whole], told.entries))
+                message = CODEC.parse_registry_text(spoilt(chance.choice(texts[2:])))
+                events.append(interface.RegistryUpdate(("changes", "whole")[message.whole], message.entries))
             else:
-                kind, data = chance.choice(NEWS)
+                kind, data = chance.choice(EVENTS)
                 events.append(CODEC.parse_event(kind, spoilt(data)))
         except WireError:
             refused += 1
@@ -249,7 +248,7 @@
 
 
 def test_an_answer_to_a_mark_of_an_earlier_life_does_not_pass_for_one_of_this_life() -> None:
-    before, now = Codec(TOLD, 256, 7), Codec(TOLD, 256, 40_000)
+    before, now = Codec(DEPLOYMENT, 256, 7), Codec(DEPLOYMENT, 256, 40_000)
     assert now.format_order(interface.Barrier(65535, True)) == "SYNC,39999,1"
     assert now.parse_event("ACK", "node=1&nonce=39999&latency=1").barrier == 65535
     late = before.format_order(interface.Barrier(3, True)).split(",")[1]
@@ -285,9 +284,12 @@
             "rules": {"cold-us": 5000000, "start-capacity": 0.2},
         }
     )
-    told, chance = settings.read(json.loads(env)), random.Random(8)
-    codec, phases = Codec(told, 256, 77), {"Ready": "live", "Terminating": "quiescing", "Gone": "dead"}
-    there, here = Controller(told, 9, 0), Controller(told, 9, 0)
+    parsed_settings, chance = settings.read(json.loads(env)), random.Random(8)
+    codec, phases = (
+        Codec(parsed_settings, 256, 77),
+        {"Ready": "live", "Terminating": "quiescing", "Gone": "dead"},
+    )
+    there, here = Controller(parsed_settings, 9, 0), Controller(parsed_settings, 9, 0)
     now, kinds = 0, set()
 
     def both(line: str, event: interface.Event | None) -> None:
@@ -303,12 +305,12 @@
             entries = "".join(
                 f"\nENTRY\t{n}\ta\tk\t0\t{phases[states[n]]}\t1.0\t{born * 1000}" for n in range(4)
             )
-            told_now = codec.parse_registry_text(
+            changes = codec.parse_registry_text(
                 listing(
                     *({**MEMBER, "id": f"s-{n}", "phase": states[n], "up_since_ms": born} for n in range(4))
                 )
             )
-            both(f"TOPOLOGY\t0\tincr\t1\t4{entries}", interface.RegistryUpdate("changes", told_now.entries))
+            both(f"TOPOLOGY\t0\tincr\t1\t4{entries}", interface.RegistryUpdate("changes", changes.entries))
         if number % 100 == 2:
             for node in range(2):
                 both(
@@ -442,8 +444,8 @@
 
 @drawing(derandomize=True, max_examples=400, deadline=None)
 @given(some.one_of(some.integers(0, 9), odd), some.one_of(some.booleans(), odd), some.one_of(members, odd))
-def test_whatever_a_list_holds_is_read_or_left_out_and_counted(revision, complete, told) -> None:
-    """A list is refused as a whole or read entry by entry.
+def test_whatever_a_list_holds_is_read_or_left_out_and_counted(revision, complete, members) -> None:
+    """A list is rejected as a whole or read entry by entry.
 
     What can't be read passes neither for gone nor for the whole.
     """
@@ -456,19 +458,19 @@
         )
         try:
             listing = registry.codec.parse_registry_text(
-                json.dumps({"revision": revision, "complete": complete, "members": told})
+                json.dumps({"revision": revision, "complete": complete, "members": members})
             )
             registry.take(listing)
         except WireError as error:
-            assert str(error) and len(heard) == 1, "nothing was half applied"
+            assert str(error) and len(heard) == 1, "a rejected list must not be applied in part"
             return
-        assert complete in (True, False) and len(listing.entries) + listing.unreadable == len(told)
+        assert complete in (True, False) and len(listing.entries) + listing.unreadable == len(members)
         assert {entry.state for entry in listing.entries} <= {"ready", "draining", "gone"}
         assert all(
             isinstance(entry.backend, str) and 0 < len(entry.backend) <= 256 for entry in listing.entries
         )
         assert (heard[-1].kind == "whole") == (complete is True and not listing.unreadable)
         assert registry.counters["registry.unreadable"] == listing.unreadable
-        Controller(deployment(), 1, 100 * SECOND).turn(100 * SECOND, heard)  # and can be decided on
+        Controller(deployment(), 1, 100 * SECOND).turn(100 * SECOND, heard)  # and the controller accepts it
 
     asyncio.run(read())
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -1,4 +1,4 @@
-"""The start: configuration and settings are read whole, or what is odd is named."""
+"""Reading the configuration: it is read in full, or the error names the invalid field."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         "127.0.0.1:2",
         0x8C1F,
     )
-    # Where the settings say that changes come unasked, nobody ever told it the list: on sockets one must ask.
+    # The real registry sends nothing unasked: a controller that followed such settings got no list.
     assert (
         launch.deployment == replace(settings.read(SETTINGS), subscribes_to_registry=True)
         and launch.deployment.turn_interval_us == 7000
@@ -40,7 +40,7 @@
 
 
 def put(path: str, value: object) -> dict:
-    """The configuration with one field of its settings changed; None takes it out."""
+    """The configuration with one field of its settings changed, or removed if `value` is None."""
     told = json.loads(json.dumps(SETTINGS))
     *way, last = path.split(".")
     part: dict = told
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes of servers on loopback: what they found, and whom they concern."""
+"""Probes of servers on loopback: their results, their number, and servers that are replaced."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
         address = {"refused": "127.0.0.1:1", "no address": "nowhere"}.get(str(behaviour), server.address)
         probes = Probes(heard.append, codec, QUICK, Counters())
         probes.start("s-1", address)
-        probes.start("s-1", address)  # one at a time
+        probes.start("s-1", address)  # skipped: one probe of a server at a time
         await until(lambda: heard)
         assert len(heard) == 1 and heard[0][:2] == ("s-1", reason) and not probes.under_way
         assert heard[0].load == ((2.0, 0.61) if reason == 0 else None) and heard[0].took_us >= 0
 
 
 async def test_servers_that_answer_nothing_keep_no_other_from_its_probe() -> None:
-    """A zone of 97 servers fell silent: its probes took all 64 places every second, the same ones first."""
+    """A zone of 97 servers fell silent: each second the same ones used up all 64 slots for probes."""
 
     async def well(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
@@ -73,10 +73,10 @@
             probes.start(f"s-{number}", mute.address)
         for number in range(12, 20):
             probes.start(f"s-{number}", good.address)
-        probes.start("s-5", mute.address)  # waits already
+        probes.start("s-5", mute.address)  # skipped: queued already
         assert len(probes.under_way) == 3
         await until(lambda: len(heard) == 20)
-        assert [told.backend for told in heard if told.reason == 0] == [f"s-{n}" for n in range(12, 20)]
+        assert [result.backend for result in heard if result.reason == 0] == [f"s-{n}" for n in range(12, 20)]
         assert counters["probes.left_out"] == 1 and not probes.queue and not probes.under_way
 
 
@@ -106,7 +106,7 @@
         probes.start("s-1", registry.addresses["s-1"])
         await until(lambda: answering)
         listed(7)
-        assert "s-1" in probes.under_way, "nothing is new"
+        assert "s-1" in probes.under_way, "address and start are unchanged"
         listed(8, **becomes)
         answer.set()
         await until(lambda: not probes.under_way)
@@ -121,7 +121,7 @@
 async def test_a_probe_whose_dial_takes_too_long_found_silence_and_no_refusal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One refused probe ends a server that a list wrongly calls gone; one slow dial does not."""
+    """One refused probe confirms that a server listed as gone is gone; one slow dial does not."""
     held, heard = HeldDials(monkeypatch), []
     held.gates["127.0.0.1:9"] = asyncio.Event()
     held.refused.add("127.0.0.1:8")
@@ -129,7 +129,7 @@
     probes.start("s-1", "127.0.0.1:9")
     probes.start("s-2", "127.0.0.1:8")
     await until(lambda: len(heard) == 2)
-    assert {told.backend: told.reason for told in heard} == {"s-1": 3, "s-2": 4}
+    assert {result.backend: result.reason for result in heard} == {"s-1": 3, "s-2": 4}
 
 
 async def test_probes_that_are_ended_begin_no_further_ones() -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry's list and watch on loopback: what is told, followed, asked for again and left out."""
+"""The client of the registry on loopback: reading the list, watches, moves and malformed entries."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 async def test_a_move_while_there_is_no_version_to_go_on_from_does_not_go_round_without_end() -> None:
     async with RegistryServer([503]) as book, following(book) as (registry, heard):
         await until(lambda: LOST in heard)
-        registry.version, registry.limits = None, replace(QUICK, list_bytes=10)  # no list is to be had
+        registry.version, registry.limits = None, replace(QUICK, list_bytes=10)  # no list can be read
         registry.move(book.address)
         registry.follow()
         await until(lambda: heard.count(LOST) == 2)
@@ -118,9 +118,9 @@
 async def test_a_move_while_the_old_place_is_being_dialed_is_followed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The watch stayed at the old place for as long as that one gave signs of life."""
+    """The watch stayed at the old address for as long as that one sent heartbeats."""
     held = HeldDials(monkeypatch)
-    limits = replace(QUICK, connect_us=60 * SECOND)  # it is cut, and does not run out of time
+    limits = replace(QUICK, connect_us=60 * SECOND)  # the dial must be cancelled, not time out
     async with (
         RegistryServer([b"\n", 3600.0]) as old,
         RegistryServer([change(6, {**MEMBER, "id": "s-2"}), 3600.0]) as new,
@@ -150,7 +150,7 @@
 
 
 class Later(RegistryServer):
-    """A registry whose first watches are not answered at all."""
+    """A registry that does not answer the first watches."""
 
     async def book(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         if self.watches and self.watches[0] == ["silent"]:
@@ -165,7 +165,7 @@
 async def test_a_place_that_does_not_answer_yet_is_tried_until_it_does_and_the_old_one_serves(
     fails: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One attempt was made; afterwards nobody asked at the new place while the old one gave signs of life."""
+    """Only one attempt was made at the new address while the old one sent heartbeats."""
     held = HeldDials(monkeypatch)
     waits: list = {"turned away": [[503]] * 40, "silent": [["silent"]] * 2, "refused": []}[fails]
     old_says = [b"\n", 0.1, change(6, {**MEMBER, "id": "s-2"}), *[b"\n", 0.1] * 99]
@@ -179,7 +179,7 @@
             await until(lambda: registry.watch_open.is_set())
             registry.move(new.address)
             await until(lambda: len(heard) == 2)
-            assert heard[1].entries[0].backend == "s-2", "the old place serves meanwhile"
+            assert heard[1].entries[0].backend == "s-2", "the old address must serve meanwhile"
             held.refused.clear()
             await until(lambda: len(heard) == 3)
             assert heard[2].entries[0].backend == "s-3" and registry.counters["registry.lost"] == 0
@@ -218,7 +218,7 @@
 
 
 def in_pieces(line: bytes, over_s: float, count: int = 10) -> list[bytes | float]:
-    """A line that comes in so many pieces over a time."""
+    """A line that arrives in several chunks, spread over a time."""
     size = -(-len(line) // count)
     pieces = (line[begin : begin + size] for begin in range(0, len(line), size))
     return [step for piece in pieces for step in (over_s / count, piece)]
@@ -228,7 +228,7 @@
 async def test_a_list_that_comes_too_slowly_gives_the_next_one_twice_as_long(
     times: float, failed: int
 ) -> None:
-    """All controllers of a large fleet may ask for the whole list at once: none would ever get it whole."""
+    """If all controllers of a large fleet request the list at once, none would get it in the usual time."""
     line = change(6, *({**MEMBER, "id": f"s-{n}"} for n in range(2, 60)))
     slow = in_pieces(line, times * QUICK.watch_idle_us / 1e6)
     async with (
@@ -236,10 +236,10 @@
         following(book, KNOWN) as (registry, heard),
     ):
         await until(lambda: heard[-1].kind == "changes")
-        lost = heard[1:-1]  # a busy machine may need one more
+        lost = heard[1:-1]  # a busy machine may need one more attempt
         assert lost == [LOST] * len(lost) and len(lost) >= failed
         assert len(book.targets) == len(lost) + 1
-        assert registry.slow_reads == 0, "the next one has the usual time again"
+        assert registry.slow_reads == 0, "the next list must have the usual time again"
 
 
 async def test_a_whole_list_that_is_fetched_too_slowly_gives_the_next_one_twice_as_long() -> None:
@@ -272,11 +272,11 @@
         began = asyncio.get_running_loop().time()
         await until(lambda: LOST in heard)
         took_us = (asyncio.get_running_loop().time() - began) * 1e6
-        assert took_us < 4 * QUICK.watch_idle_us, "a slow line would be given eight times"
+        assert took_us < 4 * QUICK.watch_idle_us, "a slow line would get eight times as long"
 
 
 async def test_a_watch_that_only_gives_signs_of_life_is_opened_anew_before_it_is_left() -> None:
-    """The list moved on elsewhere while a watch only said that it was alive: nobody ever asked again."""
+    """The list changed while the watch only sent heartbeats, and nothing replaced the watch."""
     limits = replace(QUICK, watch_renew_us=100 * MS, watch_renew_max_us=200 * MS)
     last = [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
     async with (
@@ -285,9 +285,7 @@
     ):
         await until(lambda: len(heard) == 2)
         assert heard[1].kind == "changes" and LOST not in heard
-        assert registry.counters["registry.renewals"] >= 2, (
-            "one that was turned away cost the old watch nothing"
-        )
+        assert registry.counters["registry.renewals"] >= 2, "a rejected renewal must not end the old watch"
 
 
 async def test_a_server_that_only_others_name_brings_the_next_call() -> None:
@@ -300,7 +298,7 @@
         await until(lambda: registry.watch_open.is_set())
         registry.note_mention("s-1")
         await asyncio.sleep(0.1)
-        assert registry.counters["registry.renewals"] == 0, "that one is known"
+        assert registry.counters["registry.renewals"] == 0, "this server is listed"
         registry.note_mention("s-2")
         await until(lambda: len(heard) == 2)
         assert LOST not in heard and registry.counters["registry.renewals"] == 1
@@ -318,12 +316,12 @@
     async with RegistryServer() as book:
         link = await HttpConnection.open(book.address, QUICK)
         link.watch_from = since
-        told = CODEC.parse_registry_message(listing(version, MEMBER, complete=whole))
-        if taken is None:  # behind even where it was asked from: the whole list is asked for
+        message = CODEC.parse_registry_message(listing(version, MEMBER, complete=whole))
+        if taken is None:  # older than the version that the watch started from: the whole list is read
             with pytest.raises(Exception, match="went back"):
-                registry.take(told, link)
+                registry.take(message, link)
             assert registry.version is None
         else:
-            registry.take(told, link)
+            registry.take(message, link)
             assert len(heard) == 1 + taken and registry.version == (version if taken else 7)
         link.close()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay's calls and news on loopback: what is ordered, settled, compared and asked for again."""
+"""The client of the relay on loopback: calls, the event stream, and comparing snapshots."""
 
 from __future__ import annotations
 
@@ -47,14 +47,19 @@
     async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults += ["", fault, fault, ""] if fault == "throttled" else ["", fault]
         await calls.carry_out([interface.Barrier(6, True)])
-        await calls.carry_out(ORDERS)  # over the connection that was kept
+        await calls.carry_out(ORDERS)  # over the same connection
         await calls.carry_out([interface.Barrier(8, True)])
         assert relay.orders_done == ["SYNC,6,1", *TEXTS * times, "SYNC,8,1"]
 
 
 async def test_the_order_that_the_relay_stops_at_is_left_out_and_the_rest_goes_on() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
-        relay.faults += ["short 1", "short 1", "short 0", "short 0"]  # told twice, and so believed
+        relay.faults += [
+            "short 1",
+            "short 1",
+            "short 0",
+            "short 0",
+        ]  # each short count is repeated, and so believed
         await calls.carry_out(ORDERS)
         assert (
             relay.orders_done == ["DEL,1", "DEL,1", "SYNC,7,1"]
@@ -85,12 +90,12 @@
 async def test_calls_wait_for_a_relay_that_is_away_and_orders_for_slices_given_anew_are_void() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         stream = EventStream(relay.address, calls, lambda event: None, CODEC, QUICK, Counters())
-        relay.faults += ["reset before"] * 10_000  # it stays away until the news has come
+        relay.faults += ["reset before"] * 10_000  # the relay is away until the event has arrived
         task = asyncio.create_task(calls.carry_out(ORDERS))
         await until(lambda: len(relay.calls) >= 1)
-        stream.pass_on(interface.SliceGrant(2, True))  # decided before this was known
+        stream.pass_on(interface.SliceGrant(2, True))  # the orders were decided before this event
         begun = len(relay.calls)
-        await until(lambda: len(relay.calls) >= begun + 2)  # the last of them began after the news
+        await until(lambda: len(relay.calls) >= begun + 2)  # the last one began after the event
         relay.faults.clear()
         await task
         assert relay.calls[0] == TEXTS and relay.orders_done == ["DEL,1", "SYNC,7,1"]
@@ -115,7 +120,7 @@
 
 
 async def test_a_flood_of_answers_keeps_no_giving_waiting() -> None:
-    """News were read one piece a round of the loop, beside a turn each: a slice given was heard 5 s late."""
+    """One chunk was read per iteration of the event loop, with a turn in each: a grant was read 5 s late."""
     async with RelayServer() as relay, events_of(relay) as (_, heard):
         state, writer = relay.streams[-1]
         flood = [("ACK", f"node=1&nonce={n}&latency=2.5") for n in range(500)] + [("GRANT", "shard=4&set=0")]
@@ -127,7 +132,7 @@
         )
         rounds = 0
         while interface.SliceGrant(4, False) not in heard:
-            await asyncio.sleep(0)  # a turn would be taken in each
+            await asyncio.sleep(0)  # a turn would be taken in each iteration
             rounds += bool(heard)
         assert rounds < 50 and len(heard) == 501
 
@@ -137,7 +142,7 @@
         relay.snapshot = [SNAPSHOT_LINES[0], *SNAPSHOT_LINES[2:4], ("GRANT", "shard=5&set=1")]
         relay.reset()
         await until(lambda: len(heard) >= 5)
-        # Both count as having left: one that came back in the gap must answer anew.
+        # Both count as having left: a proxy that rejoined in the gap must acknowledge again.
         assert heard == [
             interface.ProxyLeft(0),
             interface.ProxyLeft(1),
@@ -164,8 +169,8 @@
 
 
 async def test_what_stands_is_not_compared_while_a_call_is_under_way() -> None:
-    # Once the picture showed a slice without the owner that the call under way was about to give it; the
-    # module took it for given anew, chose another owner, and the writes of the slice were with both.
+    # A snapshot once showed a slice without the owner that the call under way was about to set. The slice
+    # counted as granted again, got another owner, and both owners received its writes.
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         stream.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults.append("held")
@@ -182,7 +187,7 @@
         await under_way
         await until(lambda: len(heard) >= 4)
         assert heard == [interface.ProxyLeft(0), interface.ProxyLeft(1), *SNAPSHOT_EVENTS[:2]], (
-            "the slices go on where they were"
+            "the handover must continue where it was"
         )
 
 
@@ -209,7 +214,7 @@
         if doubt == "given anew":
             relay.send_event("GRANT", "shard=4&set=1")
             await until(lambda: heard)
-            relay.snapshot.append(("ROW", "shard=4&endpoint=s-2&w=1"))  # the call came after the giving
+            relay.snapshot.append(("ROW", "shard=4&endpoint=s-2&w=1"))  # the call was applied after the grant
             relay.held.set()
         await under_way
         await until(lambda: len(relay.streams) == 2 and interface.SliceGrant(4, True) in heard[1:])
@@ -220,14 +225,14 @@
 async def test_news_that_fail_are_asked_for_again(fault: str) -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         relay.sends_heartbeats = fault != "silent"
-        if fault == "unreadable event":  # something changed unheard
+        if fault == "unreadable event":  # a change was missed
             relay.send_event("CLOSED", "node=x")
         elif fault == "unreadable chunk":
             relay.streams[-1][1].write(b"zzz\r\n")
         elif fault == "too long":
             stream.limits = replace(QUICK, message_bytes=100)
             relay.send_event("ODD", "x" * (2 << 20))
-        elif fault == "cut off":  # half an event is none
+        elif fault == "cut off":  # an incomplete event is dropped
             relay.streams[-1][1].write(b"24\r\nevent: CLOSED\ndata: node=0\n")
             await asyncio.sleep(0.02)
             relay.reset()
@@ -236,24 +241,24 @@
 
 
 async def test_a_picture_with_something_unreadable_is_asked_for_again_and_in_the_end_taken_as_it_is() -> None:
-    """A joined proxy that can't be read counted as one that has left, and after a lease as clear."""
+    """A joined proxy with a malformed event counted as one that has left, and after a lease as harmless."""
     odd = ("SUBSCRIBE", "node=x&locality=a&w=1&cold=1")
     async with RelayServer() as relay, events_of(relay) as (_, heard):
         relay.snapshot.insert(1, odd)
         relay.reset()
         await until(lambda: len(relay.streams) == 3)
-        assert not heard, "nothing is decided on half a picture"
+        assert not heard, "no decision may use an incomplete snapshot"
         relay.snapshot.remove(odd)
         await until(lambda: len(heard) == 4)
         assert heard == [interface.ProxyLeft(0), interface.ProxyLeft(1), *SNAPSHOT_EVENTS[:2]]
         heard.clear()
         relay.snapshot.insert(1, odd)
         relay.reset()
-        await until(lambda: len(heard) == 4)  # it stays so: the rest is what stands
+        await until(lambda: len(heard) == 4)  # the snapshot stays malformed: the rest of it is accepted
 
 
 async def test_a_relay_that_needs_longer_for_its_picture_comes_to_an_end() -> None:
-    """Each attempt had the same time, and none came to the end of what stands."""
+    """Each attempt had the same time-out, and none completed the snapshot."""
 
     class Slow(RelayServer):
         def send_event(self, kind: str, data: str, stream: int = -1) -> None:
@@ -304,7 +309,7 @@
 
 async def test_an_answer_that_comes_twice_does_not_pass_for_that_to_the_next_call() -> None:
     class Twice(RelayServer):
-        """Sends the first call's answer again with the second call, which it does not carry out."""
+        """Repeats the first call's answer to the second call, which it does not apply."""
 
         async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
             state = h11.Connection(h11.SERVER)
@@ -317,7 +322,7 @@
                 writer.write(answer)
                 if first and len(self.calls) == 2:
                     await writer.drain()
-                    writer.write(answer)  # that of the call before had come twice
+                    writer.write(answer)  # the previous answer for the second time
                 first = len(self.calls) < 2
                 state.start_next_cycle()
             return None
@@ -331,7 +336,9 @@
         await calls.carry_out([interface.Barrier(3, True)])
         assert doubts in ([], [True])
         if calls.counters["relay.answers_unasked"]:
-            assert doubts and len(relay.writers) == 2, "what stands is compared, over a connection in step"
+            assert doubts and len(relay.writers) == 2, (
+                "a snapshot must be compared, and a new connection used"
+            )
 
 
 async def test_what_comes_unasked_on_a_kept_connection_has_what_stands_compared() -> None:
@@ -349,7 +356,7 @@
     async with RelayServer() as relay, calls_to(relay) as calls:
         await calls.carry_out([interface.Barrier(1, True)])
         link = calls.connection
-        link.writer.transport.pause_reading()  # its end is on the way and not seen
+        link.writer.transport.pause_reading()  # its end has been sent and is not seen yet
         relay.reset()
         link.writer.transport.resume_reading()
         await calls.carry_out([interface.Barrier(2, True)])
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""The service with relay, registry and collectors on loopback: turns, handovers, moves and ends."""
+"""The service with a relay, a registry and collectors on loopback: turns, handovers, moves, shutdown."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
             for start in ("DEL,3", "SET,3,s-2")
         )
         marks = [n for n, parts in enumerate(done) if parts[0] == "SYNC"]
-        assert empty < next(n for n in marks if n > empty) < own, "a mark stands between the steps"
+        assert empty < next(n for n in marks if n > empty) < own, "there must be a barrier between the steps"
         numbers = [int(done[n][1]) for n in marks]
         assert numbers == sorted(numbers), "no turn overtakes another"
 
@@ -108,7 +108,7 @@
             turns.append(service.counters["service.late_turns"])
             service.timers[0] = service.clock.now() + 20 * MS
             if len(turns) == 3:
-                await asyncio.sleep(0.2)  # a call
+                await asyncio.sleep(0.2)  # stands for a slow relay call
             elif len(turns) == 5:
                 asyncio.get_running_loop().call_later(0.001, time.sleep, 0.2)
 
@@ -128,9 +128,9 @@
     )
     service.deliver(interface.ProxyLeft(2))
     service.deliver(interface.ProxyLeft(3))
-    with pytest.raises(InboxFull):  # the news end, and the next ones begin with all that stands
+    with pytest.raises(InboxFull):  # ends the stream; the next one begins with a snapshot
         service.event_stream.pass_on(interface.SliceGrant(7, True))
-    assert 7 not in service.calls.owners, "what was not taken in does not count as known"
+    assert 7 not in service.calls.owners, "an event that the inbox rejected must not count as known"
     with pytest.raises(InboxFull):
         service.registry.take(CODEC.parse_registry_text(change(9, MEMBER)))
     assert service.registry.version is None
@@ -151,18 +151,20 @@
         began = launch(old.address, was.address)
         service = Service(began)
         async with running(service.run()):
-            await until(lambda: "DEL,3" in old.orders_done)  # the empty step is under way
+            await until(lambda: "DEL,3" in old.orders_done)  # the step without an owner is under way
             await service.follow(
                 replace(began, relay=new.address, registry=book.address, deployment=CODEC.deployment)
             )
             await until(lambda: "SET,3,s-2,1" in new.orders_done)
             steps = [text for text in old.orders_done + new.orders_done if text.startswith(("SET", "DEL"))]
-            assert steps == ["DEL,3", "SET,3,s-2,1"], "nothing is lost or said twice"
+            assert steps == ["DEL,3", "SET,3,s-2,1"], "no order may be lost or sent twice"
             assert book.targets == ["/registry/instances?watch=1&from=2"] and len(was.targets) == 1
             assert service.counters["registry.lost"] == 0 and new.written_after == b""
             connections = len(new.writers), len(book.writers)
-            await service.follow(replace(began, relay=new.address, registry=book.address))  # nothing new
-            await service.follow(replace(began, relay="127.0.0.1:1", registry="127.0.0.1:1"))  # nobody there
+            await service.follow(replace(began, relay=new.address, registry=book.address))  # unchanged
+            await service.follow(
+                replace(began, relay="127.0.0.1:1", registry="127.0.0.1:1")
+            )  # nothing listens there
             assert (len(new.writers), len(book.writers)) == connections and not new.streams[0][1].is_closing()
             await service.follow(replace(began, relay=old.address, registry=was.address))
             await until(lambda: len(old.streams) == 2 and len(was.targets) == 2)
@@ -177,7 +179,7 @@
 
 @asynccontextmanager
 async def at_the_point(point: str):
-    """A service that has come to a point of its life, with its stand-ins."""
+    """A service that has reached a given point of its run, with its stand-ins."""
     drained = change(2, {**MEMBER, "phase": "Terminating"})
     async with RelayServer() as relay, RegistryServer([b"\n", 0.1, drained, *[b"\n", 0.1] * 99]) as book:
         relay.snapshot, relay.acknowledges = list(SNAPSHOT_LINES[:4]), point == "owner"
@@ -241,7 +243,7 @@
         assert not ours and not service.probes.under_way
         assert service.calls.connection is None or service.calls.connection.writer.is_closing()
         await asyncio.sleep(0.05)
-        assert len(relay.orders_done) == done, "nothing is ordered after the end"
+        assert len(relay.orders_done) == done, "no order may be sent after the end"
 
 
 async def test_a_restart_while_the_process_before_still_holds_the_address_waits_for_it() -> None:
