--- a/lapispass/net/relay.py
+++ b/lapispass/net/relay.py
@@ -121,7 +121,7 @@
                 await again.wait()
             else:
                 if any(item.slice in self.regranted for item in part):
-                    self.on_uncertainty()  # the order came before or after the new grant
+                    self.on_uncertainty()  # was the order applied before or after the new grant?
                 if count == len(part):
                     self.counters["relay.orders_taken"] += count
                     return
--- a/lapispass/operator/read.py
+++ b/lapispass/operator/read.py
@@ -56,23 +56,25 @@
 
 def read(path: str | Path) -> Source:
     """Reads the file and checks every field; raises `BadFile` with all errors found."""
-    where = str(path)
+    path_text = str(path)
     try:
         if Path(path).stat().st_size > FILE_BYTES:
-            raise BadFile([f"{where}:1: file: larger than {FILE_BYTES} bytes"])
+            raise BadFile([f"{path_text}:1: file: larger than {FILE_BYTES} bytes"])
         text = Path(path).read_bytes().decode("utf-8")
     except OSError as error:
-        raise BadFile([f"{where}:1: file: {error.strerror}"], error.errno in transient_errors.FILE) from None
+        raise BadFile(
+            [f"{path_text}:1: file: {error.strerror}"], error.errno in transient_errors.FILE
+        ) from None
     except UnicodeDecodeError as error:
-        raise BadFile([f"{where}:1: file: byte {error.start} is not valid UTF-8"]) from None
+        raise BadFile([f"{path_text}:1: file: byte {error.start} is not valid UTF-8"]) from None
     settings = Operator()
     try:
         text_format.Parse(text, settings)
     except text_format.ParseError as error:
         field = re.search(r'(?:named|field|value for) "([\w.]+)"', str(error))
         line = error.GetLine() or 1
-        raise BadFile([f"{where}:{line}: {field[1] if field else 'file'}: {error}"]) from None
-    source = Source(where, settings, line_numbers(text))
+        raise BadFile([f"{path_text}:{line}: {field[1] if field else 'file'}: {error}"]) from None
+    source = Source(path_text, settings, line_numbers(text))
     if findings := list(check(source)):
         raise BadFile(findings)
     return source
@@ -85,7 +87,9 @@
     for index, kind in enumerate(settings.connection_class):
         field = f"connection_class[{index}]" if index else "connection_class"
         if not NAME.match(kind.name):
-            yield at(f"{field}.name", f"expected a name, got {kind.name!r}")
+            yield at(
+                f"{field}.name", f"expected a name (at most 64 letters, digits and _.:-), got {kind.name!r}"
+            )
         if kind.name in seen:
             yield at(f"{field}.name", f"{kind.name!r} is listed twice")
         seen.add(kind.name)
@@ -154,7 +158,10 @@
         yield at("alone", "requires xds: without it there is no client to serve")
     if alone.HasField("shared"):
         if not NAME.match(alone.shared.name):
-            yield at("alone.shared.name", f"expected a name, got {alone.shared.name!r}")
+            yield at(
+                "alone.shared.name",
+                f"expected a name (at most 64 letters, digits and _.:-), got {alone.shared.name!r}",
+            )
         if not address(alone.shared.coordination):
             yield at("alone.shared.coordination", f"expected host:port, got {alone.shared.coordination!r}")
         if alone.shared.HasField("weight") and not 0 <= alone.shared.weight < 1e6:
@@ -186,7 +193,7 @@
 def check_gate(source: Source) -> Iterator[str]:
     gate, at = source.settings.gate, source.at
     if not NAME.match(gate.name):
-        yield at("gate.name", f"expected a name, got {gate.name!r}")
+        yield at("gate.name", f"expected a name (at most 64 letters, digits and _.:-), got {gate.name!r}")
     for field in ("listen", "controller"):
         value: str = getattr(gate, field)
         if not address(value) and (value or field == "listen"):
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The controller's process: start, signals, configuration and end."""
+"""The controller as a process: start, signals, configuration and shutdown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def environment_of(file: Path, **changes: object) -> dict[str, str]:
-    """The environment of a process whose configuration this file is to hold."""
+    """Writes the configuration to `file`; returns the environment of a process that reads it."""
     return {**os.environ, **write_config(file, {**CONFIG, **changes})}
 
 
@@ -39,7 +39,7 @@
     with subprocess.Popen(COMMAND, env=environment, stderr=subprocess.PIPE, text=True) as process:
 
         def says(what: str) -> None:
-            assert any(what in line for line in process.stderr), f"it ended without {what}"
+            assert any(what in line for line in process.stderr), f"the process ended without logging {what}"
 
         says("event=listening")
         process.send_signal(signal.SIGUSR1)
@@ -51,7 +51,7 @@
         ):
             file.unlink()
             if text is None:
-                os.mkfifo(file)  # what is no file is not waited for
+                os.mkfifo(file)  # must not block the reload
             else:
                 file.write_text(text)
             process.send_signal(signal.SIGHUP)
@@ -59,7 +59,7 @@
         file.unlink()
         file.write_text(json.dumps(CONFIG))
         for number in (signal.SIGUSR2, signal.SIGALRM, signal.SIGRTMIN, signal.SIGHUP, signal.SIGHUP):
-            process.send_signal(number)  # one just before the end, too
+            process.send_signal(number)  # also once just before the process ends
         process.send_signal(signal.SIGTERM)
         _, said = process.communicate(timeout=5)
         assert process.returncode == 0 and "event=counters" in said.splitlines()[-1]
@@ -96,7 +96,7 @@
     environment = environment_of(tmp_path / "config.json")
     for delay_s in (0.03, 0.06, 0.1, 0.15, 0.2, 0.3):
         ready, tell = os.pipe()
-        # Its own first line of code says that its handlers stand.
+        # The first line of its code prints that its signal handlers are set.
         code = (
             "import os, sys; from lapispass.net import signals; signals.ignore_all(); "
             f"os.write({tell}, b'x'); "
@@ -114,19 +114,19 @@
             os.close(ready)
             time.sleep(delay_s)
             process.send_signal(signal.SIGTERM)
-            _, said = process.communicate(timeout=60)  # that it ends is asked here, not how soon
+            _, said = process.communicate(timeout=60)  # checks that it ends, not how soon
         assert process.returncode == 0 and "Traceback" not in said
 
 
 async def test_a_large_deployment_is_ready_in_time_and_its_picture_comes_whole(tmp_path) -> None:
-    """5,700 servers known, 5,000 proxies and 15,000 slices in what stands, the registry silent."""
+    """5,700 known servers, a snapshot of 5,000 proxies and 15,000 slices, and a silent registry."""
     proxies, slices, servers = 5000, 15_000, 5700
 
     class Large(RelayServer):
         async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
             state = h11.Connection(h11.SERVER)
             if (request := await next_request(reader, state)) is None:
-                return None  # it ended before it asked
+                return None  # the process ended before its request
             if request[0] == "POST":
                 await reader.read()
             writer.write(response_bytes(state, 200, None))
@@ -189,7 +189,7 @@
             writer.transport.abort()
             while True:
                 line = (await process.stderr.readline()).decode()
-                assert line, "it ended"
+                assert line, "the process ended"
                 if "snapshot complete" in line:
                     break
             assert f"joined={proxies} slices={slices}" in line and time.monotonic() - began < 15
--- a/tests/test_process_faults.py
+++ b/tests/test_process_faults.py
@@ -1,4 +1,4 @@
-"""Starts, reloads and ends of a real controller process while its system calls fail for a moment."""
+"""Start, reload and shutdown of a real controller process while its system calls fail temporarily."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.mark.time_limit(60)
 async def test_a_start_goes_on_where_calls_fail_for_a_moment(tmp_path: Path) -> None:
-    # Any error but an address in use was a refusal to start.
+    # Any error other than an address in use prevented the start.
     wrong = {}
     cases = [(Call.BIND, error) for error in LOCAL_ERRORS]
     cases += [(Call.SOCKET, error) for error in LOCAL_ERRORS[1:]]
@@ -47,7 +47,7 @@
 
 
 async def test_a_reload_goes_on_where_the_file_cannot_be_read_for_a_moment(tmp_path: Path) -> None:
-    # The signal came once, and the new place was never followed.
+    # The signal is sent once. After a failed read, the new address was never used.
     environment = {"LAPISPASS_FAULTS_OPEN": str(tmp_path / "config.json")}
     async with controller(tmp_path, environment=environment) as running:
         for error in (errno.EIO, errno.ENFILE):
@@ -90,7 +90,7 @@
 
 
 async def test_an_operator_file_that_cannot_be_read_for_a_moment_is_read_again(tmp_path: Path) -> None:
-    # A gate did not start, or went on by the older file for good.
+    # A gate did not start, or kept the old file for good.
     faults, address = Faults(tmp_path / "faults"), free_address()
     file, listen = tmp_path / "operator.textproto", "{}:{}".format(*address)
     file.write_text(GATE_FILE.format(listen=listen, state="READY"))
@@ -107,7 +107,7 @@
 
 
 async def test_a_process_that_stood_still_says_so_whatever_it_was_doing(tmp_path: Path) -> None:
-    # While a relay call was under way a stand-still left no line.
+    # A stall of the process during a relay call was not logged.
     relay = RelayServer()
     relay.faults += ["silent before"] * 99
     async with controller(tmp_path, relay=relay) as running:
--- a/tests/test_review_finds.py
+++ b/tests/test_review_finds.py
@@ -1,4 +1,4 @@
-"""Answers in time where other peers take the process's places or its time, on real processes."""
+"""Real processes answer in time while other peers use up their connections or their time."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 DUE_S = 0.5  # for an answer
-SOCKETS = 128  # half of which are places for clients
+SOCKETS = 128  # half of them for client connections
 PLACES = SOCKETS // 2
 NEWCOMERS = 20
-BUSY_PAUSE_S = 0.04  # less than what makes a client an idle one
+BUSY_PAUSE_S = 0.04  # too short for a client to count as idle
 FLOOD = Path(__file__).with_name("flood.py")
-COLLECTORS, FLOOD_S = 12, 4.0  # that report without a pause, and for how long
+COLLECTORS, FLOOD_S = 12, 4.0  # collectors that report without a pause, and for how long
 REPORT = "LOAD endpoint=s-1 errors=0 total=9 rtt=3 interval=100"
-CHUNKS = 240_000  # of news, written at once
-NEWS_S = 3.0  # for which answers are looked at after that
+CHUNKS = 240_000  # of the event stream, written at once
+NEWS_S = 3.0  # how long answers are timed after that
 SENDERS, SEND_S = 40, 3.0  # clients of a gate that send without a pause, and for how long
 FRAME = b"\x81\x81\x00\x00\x00\x00a"  # a text message of one byte, masked by zeros
 ANSWER_FRAME = b"\x81\x02ok"
@@ -32,7 +32,7 @@
 
 
 async def ask_on_and_on(running: Controller) -> None:
-    """A client that asks again soon after each answer, until it is ended."""
+    """A client that sends its next request soon after each answer, until it is cancelled."""
     reader, writer = await running.connect()
     try:
         while True:
@@ -47,7 +47,7 @@
 
 
 async def ask_and_stay(running: Controller, opened: list[asyncio.StreamWriter]) -> float:
-    """How long a new connection and its first answer took; it stays."""
+    """The time to connect and get the first answer. The connection stays open."""
     loop = asyncio.get_running_loop()
     begun = loop.time()
     reader, writer = await running.connect()
@@ -58,8 +58,8 @@
 
 
 def test_newcomers_to_a_full_process_wait_together_and_not_one_after_the_other(tmp_path: Path) -> None:
-    """Guards against a wait for room that began anew with each client accepted: where all places are taken by
-    clients that ask, the last of those in the queue waited for the sum of the waits before it."""
+    """With all connections in use by active clients, the wait for room was restarted by each accepted client:
+    the last one in the queue waited for the sum of all waits before it."""
 
     async def test() -> None:
         opened: list[asyncio.StreamWriter] = []
@@ -79,7 +79,7 @@
 
 
 async def slowest_answer_s(running: Controller, until_ended: asyncio.subprocess.Process) -> float:
-    """The slowest answer, on a connection that is kept and on new ones, while another process runs."""
+    """The slowest answer, on a persistent connection and on new ones, while another process runs."""
     loop, slowest_s = asyncio.get_running_loop(), 0.0
     opened: list[asyncio.StreamWriter] = []
     reader, writer = await running.connect()
@@ -95,7 +95,7 @@
 
 
 def test_clients_are_answered_in_time_beside_collectors_that_report_without_a_pause(tmp_path: Path) -> None:
-    """Guards against 64 KiB of reports being handled at a time, for each collector, while all others wait."""
+    """64 KiB of reports were handled at a time for each collector, while all other clients waited."""
 
     async def test() -> None:
         async with controller(tmp_path) as running:
@@ -114,7 +114,7 @@
 
 
 def test_clients_are_answered_in_time_beside_news_in_many_small_chunks(tmp_path: Path) -> None:
-    """Guards against a stream of news that goes on without a pause while its buffer holds a further chunk."""
+    """The event stream was read without yielding as long as its buffer held another chunk."""
 
     async def test() -> None:
         relay, slowest_s = RelayServer(), 0.0
@@ -139,7 +139,7 @@
 
 
 async def read_and_answer_small_pieces(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A node that takes an upgrade, and answers a message that comes alone."""
+    """A node that accepts an upgrade and answers a message that arrives alone."""
     head = await reader.readuntil(b"\r\n\r\n")
     fields = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:-2])
     key = {name.lower(): value for name, value in fields.items()}[b"sec-websocket-key"]
@@ -154,7 +154,7 @@
 
 
 async def upgraded(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """A connection that the gate holds; a refused upgrade is asked for again."""
+    """Opens a connection that the gate holds; retries rejected upgrades."""
     while True:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(UPGRADE)
@@ -177,7 +177,7 @@
 def test_clients_of_a_gate_are_answered_in_time_beside_others_that_send_without_a_pause(
     tmp_path: Path,
 ) -> None:
-    """Guards against many messages of one client being passed on before others have their turn."""
+    """Many messages of one client were forwarded before other clients were served."""
 
     async def test() -> None:
         loop, slowest_s = asyncio.get_running_loop(), 0.0
--- a/tests/test_setup_faults.py
+++ b/tests/test_setup_faults.py
@@ -1,4 +1,4 @@
-"""A client is answered, or freed at once, whatever fails between its arrival and its answer."""
+"""A client is answered or its connection closed at once, whichever system call fails meanwhile."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Request(NamedTuple):
-    """What a client says to a front, and how it reads the answer to that."""
+    """What a client sends to a front end, and how it reads the answer."""
 
     said: bytes
     read_answer: Callable[[asyncio.StreamReader], Awaitable[bool]]
@@ -45,7 +45,7 @@
 
 
 async def read_refusal(reader: asyncio.StreamReader) -> bool:
-    """The gate's node refuses, and the gate tells its client so."""
+    """The gate's node refuses the connection, and the gate answers 503."""
     return (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 503 ")
 
 
@@ -66,7 +66,7 @@
 
 @asynccontextmanager
 async def front(name: str, folder: Path, fails: Trouble | None = None) -> AsyncIterator[Controller]:
-    """A process that listens, once it has nothing more to set up; a call may fail three times meanwhile."""
+    """A process that listens and has completed its start-up, in which a call may fail three times."""
     folder.mkdir(parents=True)
     faults, address = Faults(folder / "faults"), free_address()
     file = folder / ("config.json" if name == "controller" else "operator.textproto")
@@ -85,7 +85,7 @@
 
 
 async def ask(running: Controller, name: str) -> str:
-    """What a new client meets: "answered", "freed", "lost" (its request was read), or "left waiting"."""
+    """What happens to a new client: "answered", "freed", "lost" (its request was read) or "left waiting"."""
     request = REQUESTS[name]
     reader, writer = await running.connect()
     port = writer.get_extra_info("sockname")[1]
@@ -104,7 +104,7 @@
 
 
 async def ended_in_order(running: Controller) -> str:
-    """What is wrong with its end, and with all that it logged; nothing is "" ."""
+    """Ends the process; returns what was wrong with its exit status and its log, or an empty text."""
     running.signal(signal.SIGTERM)
     status = await running.wait_for_exit()
     traces = [line for line in running.lines if "trace=" in line]
@@ -115,9 +115,9 @@
 
 
 async def serves_while_calls_fail(name: str, call: Call, errors: Iterable[int], folder: Path) -> Wrong:
-    """What is wrong with clients that come while this call fails, with the next ones, and with the end.
+    """What goes wrong for clients while this call fails, for the next clients, and at the end.
 
-    The call fails once, and so often in a row that no attempt goes through. Close still fails at the end.
+    The call fails once, and then so often in a row that no attempt succeeds. Close still fails at the end.
     """
     wrong: Wrong = {}
     async with front(name, folder) as running:
@@ -168,7 +168,7 @@
 
 
 async def accepts_again(name: str, error: int, folder: Path) -> Wrong:
-    """The listening socket cannot be watched again after a pause."""
+    """The listening socket cannot be added to epoll again after a pause."""
     wrong: Wrong = {}
     where = f"{name} ACCEPT ENFILE, then EPOLL_CTL {errno_name(error)}"
     async with front(name, folder) as running:
@@ -184,7 +184,7 @@
 
 
 async def answers_where_writing_waits(waits: int, folder: Path) -> Wrong:
-    """A socket takes no answer for a moment, and epoll_ctl fails where that is waited for."""
+    """A socket cannot take an answer for a moment, and epoll_ctl fails when waiting for it."""
     wrong: Wrong = {}
     where = f"SEND EAGAIN {waits} times, EPOLL_CTL ENOMEM"
     async with front("controller", folder) as running:
@@ -206,7 +206,7 @@
 
 
 async def answers_all_that_was_read(error: int, folder: Path) -> Wrong:
-    """A client sends more than is taken in at once, and epoll_ctl fails where reading goes on."""
+    """A client sends more than is read at once, and epoll_ctl fails when reading is resumed."""
     where, expected = f"a flood of requests, EPOLL_CTL {errno_name(error)}", len(PONG) * FLOOD
     async with front("controller", folder) as running:
         reader, writer = await running.connect()
@@ -228,7 +228,7 @@
 
 
 async def makes_room(error: int, folder: Path) -> Wrong:
-    """All places are taken by idle clients, and poll fails where it is asked whether another one waits."""
+    """Idle clients use all connections, and poll fails when asked whether another client is queued."""
     folder.mkdir()
     where, wrong = f"no room, POLL {errno_name(error)}", {}
     async with controller(folder, limits={"sockets": 128}) as running:
@@ -236,7 +236,7 @@
         for reader, writer in idle:
             writer.write(PING)
             await reader.readexactly(len(PONG))
-        await asyncio.sleep(0.2)  # from then on they may leave
+        await asyncio.sleep(0.2)  # from then on they may be evicted
         running.faults.set(Call.POLL, error, times=IN_A_ROW)
         if (met := await ask(running, "controller")) != "answered":
             wrong[where] = met
@@ -251,7 +251,7 @@
 
 
 async def starts(name: str, call: Call, error: int, folder: Path) -> Wrong:
-    """A process is started while a call fails a few times."""
+    """Starts a process while a call fails a few times."""
     where = f"start of {name}, {call.name} {errno_name(error)}"
     try:
         async with front(name, folder, (call, error)) as running:
@@ -289,11 +289,11 @@
 
 
 def test_clients_are_answered_or_freed_where_epoll_ctl_close_or_send_fails(tmp_path: Path) -> None:
-    """A connection that epoll_ctl refused was never read, and a listening socket never watched again; a close
-    that failed left traces, and its status to the process; an answer that met ENOBUFS was dropped; a gate or
-    an xDS controller ended at its start where bind or listen failed.
+    """After an error of epoll_ctl a connection was never read, or a listening socket never watched again. An
+    error of close logged a traceback and set the exit status. An answer that met ENOBUFS was dropped. A gate
+    or an xDS controller ended at its start if bind or listen failed.
 
-    One test for all, since each of them is known to fail; each that is mended may become one of its own.
+    These cases share one test, since each was known to fail when the test was written.
     """
 
     async def test() -> None:
@@ -340,7 +340,7 @@
 
 
 async def drop_streams(running: Controller, world: World, roll: Roll, until: Callable[[], bool]) -> None:
-    """Ends news and watch again and again, with signals between, until enough calls have failed."""
+    """Ends the event stream and the watch repeatedly, with signals between, until `until()` is true."""
     async with asyncio.timeout(20):
         while not until():
             world.reset()
@@ -350,8 +350,8 @@
 
 
 async def works_on(call: Call, error: int, folder: Path) -> Wrong:
-    """What is wrong with signals, relay calls, news, the watch, probes and clients once a call has failed one
-    time in twenty, and then many times in a row."""
+    """What is wrong with signals, relay calls, the event stream, the watch, probes and clients after a call
+    has failed one time in twenty, and then many times in a row."""
     folder.mkdir()
     wrong: Wrong = {}
     world, roll = World(1, SLICES, PROXIES), Roll()
@@ -359,8 +359,8 @@
         members = [{**MEMBER, "id": f"s-{number}", "host_port": server.address} for number in range(3)]
         roll.members = {str(member["id"]): member for member in members}
         settings = {**RULE_SETTINGS, "limits": {"probes": True}}
-        told = {"settings": settings, "members": members, "relay": world, "registry": roll}
-        async with controller(folder, **told) as running:
+        configuration = {"settings": settings, "members": members, "relay": world, "registry": roll}
+        async with controller(folder, **configuration) as running:
             faults = running.faults
             await running.wait_for_log("watch open")
             for gone, times, thousandths in (("s-0", -1, ONE_IN_TWENTY), ("s-1", IN_A_ROW, ALWAYS)):
@@ -382,7 +382,7 @@
 
 
 async def all_is_done(running: Controller, world: World, roll: Roll, gone: str, after: int) -> None:
-    """News and watch come back, a server that goes is replaced, and the configuration is read again."""
+    """Stream and watch are reopened, a server that leaves is replaced, and the configuration is reloaded."""
     await running.wait_for_log("event stream open", after, limit_s=6)
     await running.wait_for_log("watch open", after, limit_s=6)
     calls = len(world.calls)
@@ -419,7 +419,7 @@
 
 
 def test_requests_around_the_signal_to_end_are_answered(tmp_path: Path) -> None:
-    """Those on connections that stand, and on new ones that were made before the process heard the signal."""
+    """Requests on open connections, and on new ones made before the process handled the signal."""
 
     async def test() -> None:
         wrong = {}
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,6 +1,6 @@
-"""The sizes of a full fleet: 1,024 servers, 1,024 controllers, thousands of proxies.
+"""A full fleet: 1,024 servers, 1,024 controllers and thousands of proxies.
 
-Nothing is left out, cost follows need.
+Everything must fit the limits, and the cost of a turn must match what changed.
 """
 
 from __future__ import annotations
@@ -49,9 +49,9 @@
 def world(
     servers: int, proxies: int, slices: int, mine: int, kind: type[Controller] = Controller
 ) -> tuple[Controller, int]:
-    """A controller with a share of the slices; all servers probed, all proxies joined."""
+    """A controller that owns a share of the slices. All servers have been probed, all proxies have joined."""
     now = 100 * SECOND
-    told = deployment(
+    settings = deployment(
         proxies=proxies,
         slices=slices,
         lines_per_s=slices * proxies / 6,
@@ -59,7 +59,7 @@
         max_messages=0,
         subscribes_to_registry=True,
     )
-    controller = kind(told, 1, now)
+    controller = kind(settings, 1, now)
     entries = [server(f"s-{n}") for n in range(servers)]
     controller.turn(now, events_to_running(entries, proxies, mine))
     return controller, now
@@ -83,7 +83,7 @@
     for state in ("Ready", "Terminating"):
         text = json.dumps(listing(2, *members(state)))
         registry.take(registry.codec.parse_registry_text(text))
-    assert [(told.kind, len(told.entries)) for told in heard] == [
+    assert [(update.kind, len(update.entries)) for update in heard] == [
         ("remembered", MANY),
         ("whole", MANY),
         ("whole", MANY),
@@ -116,14 +116,14 @@
     news: list[interface.Event] = [
         registry_changes(*(server(f"s-{n}", "draining") for n in range(0, MANY, 2)))
     ]
-    told: list[interface.Order] = []
+    all_orders: list[interface.Order] = []
     for _ in range(600):
         now += 50 * MS
         orders, news = controller.turn(now, news), []
-        told += orders
+        all_orders += orders
         assert controller.channel.waiting <= 0.8 * 3 * MANY * 40 / 3
         controller.turn(now, acknowledgements(orders, 40, 50 * MS))
-    assert {order.backend for order in told if isinstance(order, interface.SetWithdrawn)} == {
+    assert {order.backend for order in all_orders if isinstance(order, interface.SetWithdrawn)} == {
         f"s-{n}" for n in range(0, MANY, 2)
     }
     owners = [slice_.owner for slice_ in controller.table.holdings.slices.values()]
@@ -162,7 +162,7 @@
 
 
 def cost(servers: int, proxies: int, mine: int, looks: int) -> float:
-    """Processor time of a look at all, the least of several rounds."""
+    """The processor time of evaluating all servers: the minimum of several rounds."""
     controller, now = world(servers, proxies, 5 * servers, mine, FullLook)
     best = float("inf")
     for _ in range(5):
@@ -182,14 +182,14 @@
 
 
 def test_a_turn_of_sums_costs_a_small_part_of_a_look() -> None:
-    """Where nothing but sums came, nothing but their servers is touched."""
+    """If a turn has only summed reports, only the servers that they concern are evaluated."""
     controller, now = world(400, 1600, 2000, 400)
     controller.turn(now := now + 50 * MS, [])
     sums = [interface.ServerReport(f"s-{n}", "east", 0, 9, 200 * MS, SECOND, None) for n in range(3)]
     best = float("inf")
     for _ in range(4):
         began = time.process_time()
-        for _ in range(10):  # 10 ms: no look is due
+        for _ in range(10):  # 10 ms: no full evaluation is due
             controller.turn(now := now + MS, sums)
         best = min(best, (time.process_time() - began) / 10)
         controller.turn(now := now + 60 * MS, [])
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -1,4 +1,4 @@
-"""The target's sizes in the network code: 5,700 servers, 2,200 slices, 22,000 tenants, 720 controllers.
+"""The target sizes in the network code: 5,700 servers, 2,200 slices, 22,000 tenants, 720 controllers.
 
 No list is cut. Every stand-in sits on loopback; what a list costs is measured by `benchmarks/capacity.py`.
 """
@@ -50,7 +50,7 @@
 
 
 def member(number: int, phase: str = "Ready", name: str = "") -> dict[str, object]:
-    """An entry with every field of the protocol's page."""
+    """An entry with every field of the protocol's specification."""
     return {
         "id": name or f"s-{number:08x}",
         "host_port": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:3000",
@@ -71,7 +71,7 @@
 
 
 class ListServer(LoopbackServer):
-    """A registry that answers every call with a whole list, and then tells one change."""
+    """A registry that answers every call with a whole list, followed by one change."""
 
     def __init__(self, body: bytes, change: bytes) -> None:
         super().__init__(self.listed)
@@ -86,7 +86,7 @@
             await writer.drain()
             return None
         writer.write(response_bytes(state, 200, None))
-        for begin in range(0, len(self.body), CHUNK_BYTES):  # the line of a watch comes in many chunks
+        for begin in range(0, len(self.body), CHUNK_BYTES):  # a watch line arrives in many chunks
             writer.write(state.send(h11.Data(data=self.body[begin : begin + CHUNK_BYTES])))
             await writer.drain()
         writer.write(state.send(h11.Data(data=b"\n" + self.change + b"\n")))
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("name_bytes", [0, LIMITS.id_bytes])
 async def test_a_whole_list_is_fetched_and_watched_over_a_socket(name_bytes: int) -> None:
-    """Also where each id is as long as one may be."""
+    """Also if each id has the maximum length."""
     body = whole_list(5, name_bytes)
     assert len(body) > 900_000
     gone = {**member(7), "id": f"{7:0{name_bytes}d}" if name_bytes else "s-00000007", "phase": "Gone"}
@@ -109,9 +109,9 @@
         async with running(registry.run()):
             registry.follow()
             await until(lambda: len(heard) == 4)
-        assert [(told.kind, len(told.entries)) for told in heard] == [
+        assert [(update.kind, len(update.entries)) for update in heard] == [
             ("remembered", 0),
-            ("whole", SERVERS),  # fetched: there was no version to go on from
+            ("whole", SERVERS),  # fetched: there was no version to start a watch from
             ("whole", SERVERS),  # the first line of the watch
             ("changes", 1),
         ]
@@ -121,7 +121,7 @@
 
 
 def test_a_start_file_of_the_target_is_read_whole(tmp_path: Path) -> None:
-    """Written with indents, and with a setting for each tenant that this program passes over."""
+    """The file is indented and has a setting for each tenant, which the controller ignores."""
     settings = {
         **SETTINGS,
         "zones": ["a", "b"],
@@ -135,7 +135,7 @@
     launch = Launch.read({"LB_CONFIG": str(tmp_path / "config.json")})
     assert len(launch.known.entries) == len(launch.known.addresses) == SERVERS
     assert launch.deployment.slices == TENANTS and launch.known.unreadable == 0
-    assert launch.limits.events >= 2 * 5000 + 3 * TENANTS, "all that stands fits one turn"
+    assert launch.limits.events >= 2 * 5000 + 3 * TENANTS, "a whole snapshot must fit one turn"
 
 
 def test_a_start_file_beyond_its_bound_is_refused_unread(tmp_path: Path) -> None:
@@ -202,7 +202,7 @@
             if number % 500 == 0:
                 await writer.drain()
         await until(lambda: len(heard) == SERVERS)
-        assert len({told.backend for told in heard}) == SERVERS
+        assert len({report.backend for report in heard}) == SERVERS
         assert not collectors.counters["collectors.unreadable"]
 
 
@@ -234,8 +234,12 @@
     file = tmp_path / "target.textproto"
     file.write_text("\n".join(lines))
     assert file.stat().st_size > 600_000
-    told = operator.read(file).settings
-    assert len(told.node) == SERVERS and len(told.line) == SLICES and len(told.gates.name) == CONTROLLERS
+    settings = operator.read(file).settings
+    assert (
+        len(settings.node) == SERVERS
+        and len(settings.line) == SLICES
+        and len(settings.gates.name) == CONTROLLERS
+    )
     file.write_text("\n".join(lines).replace('name: "g719"', 'name: "g7"'))
     with pytest.raises(operator.BadFile, match=r":721: gates.name\[719\]: 'g7' is listed twice"):
         operator.read(file)
