--- a/lapispass/controller.py
+++ b/lapispass/controller.py
@@ -22,11 +22,11 @@
 from lapispass.core.turn import Turn
 from lapispass.core.units import NEVER
 from lapispass.policy.channel import Channel
-from lapispass.policy.handovers import Ledger
+from lapispass.policy.handovers import Handovers
 from lapispass.policy.health import Backend
 from lapispass.policy.registry_retry import RegistryRetry
-from lapispass.policy.rules import PROMPT, Rules
-from lapispass.policy.spread import Spread
+from lapispass.policy.rules import URGENT_EVENTS, Rules
+from lapispass.policy.weighted_tables import WeightedTables
 
 
 class Controller:
@@ -38,10 +38,10 @@
         self.backends = self.fleet.servers
         self.agenda: Agenda[interface.BackendId] = Agenda()
         self.channel = Channel(self.current, self.rules, deployment.proxies)
-        kind = Ledger if deployment.slices else Spread
-        self.table: Ledger | Spread = kind(self.current, self.rules, self.fleet, self.channel)
+        kind = Handovers if deployment.slices else WeightedTables
+        self.table: Handovers | WeightedTables = kind(self.current, self.rules, self.fleet, self.channel)
         self.registry = RegistryRetry(self.current, now if deployment.subscribes_to_registry else NEVER)
-        self.timer_at, self.evaluated_at = -1, now - self.rules.look_us
+        self.timer_at, self.evaluated_at = -1, now - self.rules.evaluation_interval_us
         self.registry_in_sync = False  # whether the watch has had no gap since the last update
 
     def turn(self, now: int, events: Sequence[interface.Event]) -> list[interface.Order]:
@@ -50,9 +50,9 @@
         turn.now, turn.orders = now, []
         for event in events:
             self.dispatch(event)
-        if self.registry.asks():
+        if self.registry.request_due():
             turn.orders.append(interface.WatchRegistry())
-        prompt = any(isinstance(event, PROMPT) for event in events)
+        prompt = any(isinstance(event, URGENT_EVENTS) for event in events)
         if prompt or now >= self.next_evaluation():
             self.evaluate()
         self.set_timer()
@@ -64,7 +64,7 @@
         # for each of them would leave no time to process urgent events, so evaluations are spaced.
         now, table = self.current.now, self.table.next_evaluation(self.current.now, self.channel.joined)
         due = now if self.current.updated_servers else min(self.agenda.next(), table)
-        return max(due, self.evaluated_at + self.rules.look_us) if due < NEVER else NEVER
+        return max(due, self.evaluated_at + self.rules.evaluation_interval_us) if due < NEVER else NEVER
 
     def evaluate(self) -> None:
         """Evaluates the servers and slices that have new events or are due."""
@@ -75,17 +75,17 @@
         turn.updated_servers.clear()
         for server in self.fleet.in_order(due):
             self.agenda.set(server.number, server.evaluate())
-            if server.state == "past" and self.table.forget(server.number):
+            if server.state == "past" and self.table.forget_server(server.number):
                 self.agenda.forget(server.number)
                 self.fleet.forget(server.number)
                 continue
             self.fleet.update(server)
-            self.table.evaluated(server)
-        self.table.evaluate(turn.now, self.rules.look_us, self.channel.offer)
+            self.table.server_evaluated(server)
+        self.table.evaluate(turn.now, self.rules.evaluation_interval_us, self.channel.send_budget)
 
     def set_timer(self) -> None:
         """Sets a timer, unless the one that is set fires in time."""
-        now, at = self.current.now, min(self.next_evaluation(), self.registry.ask_at)
+        now, at = self.current.now, min(self.next_evaluation(), self.registry.request_at)
         if at < NEVER and (self.timer_at <= now or at < self.timer_at):
             self.timer_at = max(at, now + 1)
             self.current.orders.append(interface.SetTimer(0, self.timer_at))
@@ -97,20 +97,20 @@
     def progress(self) -> Progress:
         """The progress of all handovers, for the log."""
         table = self.table
-        if not isinstance(table, Ledger):
+        if not isinstance(table, Handovers):
             return Progress()
-        return progress(table.holdings, self.channel.proxies, self.current.now, table.turns_without_room)
+        return progress(table.slice_index, self.channel.proxies, self.current.now, table.turns_without_room)
 
     def handover(self, number: int) -> HandoverState | None:
         """The state of a slice's handover, for the log; None where this controller does not hold it."""
-        slices = self.table.holdings.slices if isinstance(self.table, Ledger) else {}
+        slices = self.table.slice_index.slices if isinstance(self.table, Handovers) else {}
         if (slice_ := slices.get(number)) is None:
             return None
         return handover_state(slice_, self.channel.proxies, self.current.now)
 
     def at_rest(self, number: int) -> bool:
         """Whether no handover of a slice is in progress; it is while an emptied slice has no owner."""
-        slices = self.table.holdings.slices if isinstance(self.table, Ledger) else {}
+        slices = self.table.slice_index.slices if isinstance(self.table, Handovers) else {}
         slice_ = slices.get(number)
         return slice_ is None or not slice_.moving
 
@@ -121,28 +121,28 @@
                 self.apply_registry_update(event)
             case interface.ServerReport(number) if server := self.backends.get(number):
                 self.current.report_received()
-                server.met(event)
+                server.apply_report(event)
                 self.current.updated_servers.add(number)
             case interface.ProbeResult(number, reason) if server := self.backends.get(number):
-                server.probed(reason)
+                server.apply_probe_result(reason)
                 self.current.updated_servers.add(number)
             case interface.HeldConnectionLoad(number, load) if server := self.backends.get(number):
-                server.held = load
+                server.held_load = load
                 self.current.updated_servers.add(number)
             case interface.RequestReport():
-                self.table.came(event)
+                self.table.requests_reported(event)
             case interface.SliceGrant(number, ours):
-                self.table.given(number, ours)
+                self.table.slice_granted(number, ours)
             case interface.StoredOwner(number, backend):
                 if backend not in self.backends:  # taken as up until a probe fails
                     self.apply_registry_entry(interface.RegistryEntry(backend, "", "gone", None, None), False)
-                    self.backends[backend].probed(0)
-                self.table.held(number, backend)
+                    self.backends[backend].apply_probe_result(0)
+                self.table.owner_stored(number, backend)
             case interface.ProxyJoined():
-                self.table.joined(event, self.channel.join(event))
+                self.table.proxy_joined(event, self.channel.join(event))
             case interface.ProxyLeft(proxy):
                 self.channel.leave(proxy)
-                self.table.left(proxy)
+                self.table.proxy_left(proxy)
             case interface.BarrierAck():
                 self.channel.answer(event)
 
@@ -168,11 +168,11 @@
     ) -> None:
         """Applies one entry of the registry; an unchanged one costs nothing."""
         if (server := self.backends.get(entry.backend)) is None:
-            server = Backend(self.current, entry.backend, self.fleet.next_place(), self.rules)
+            server = Backend(self.current, entry.backend, self.fleet.next_index(), self.rules)
             self.backends[entry.backend] = server
             if remembered:
-                server.spread_first_probe()
+                server.delay_first_probe()
         elif entry == server.entry:
             return
-        server.list_entry(entry, live)
+        server.apply_registry_entry(entry, live)
         self.current.updated_servers.add(entry.backend)
--- a/lapispass/core/fleet_index.py
+++ b/lapispass/core/fleet_index.py
@@ -14,16 +14,16 @@
     """What the index reads of a server."""
 
     number: BackendId
-    place: int  # in the order in which servers became known
+    index: int  # in the order in which servers became known
     state: str
     zone: str
     weight: float
     warm: bool
-    fine: bool
-    pace: float
-    speed: float
+    succeeding: bool
+    completed_per_s: float
+    capacity_per_weight: float
 
-    def carry(self, rate: float) -> None:
+    def set_rate(self, rate: float) -> None:
         """The visits a second that its slices bring."""
 
 
@@ -36,7 +36,7 @@
     state: str
     zone: str
     warm_weight: float  # 0 where it is cold or not listed
-    fine: bool
+    succeeding: bool
 
 
 class FleetIndex(Generic[AnyServer]):
@@ -46,34 +46,36 @@
         self.servers: dict[BackendId, AnyServer] = {}
         self.states: Counter[str] = Counter()
         self.ill: dict[BackendId, str] = {}  # with their zones
-        self.fine: dict[BackendId, str] = {}  # ready ones at which enough visits did well, with their zones
+        self.succeeding: dict[
+            BackendId, str
+        ] = {}  # ready ones at which enough visits did well, with their zones
         self.out: dict[BackendId, None] = {}  # in the state "out"
-        self.speeds: dict[BackendId, float] = {}  # of those that are listed and were measured
-        self.paces: dict[BackendId, float] = {}  # of those that are listed and warm
+        self.capacities_per_weight: dict[BackendId, float] = {}  # of those that are listed and were measured
+        self.warm_completed_per_s: dict[BackendId, float] = {}  # of those that are listed and warm
         self._indexed: dict[BackendId, Indexed] = {}
         self._warm_weight: float | None = None
-        self.last_place = 0  # of the server that became known last
+        self.last_index = 0  # of the server that became known last
 
-    def next_place(self) -> int:
+    def next_index(self) -> int:
         """The place of a server that becomes known now."""
-        self.last_place += 1
-        return self.last_place
+        self.last_index += 1
+        return self.last_index
 
     def in_order(self, numbers: Iterable[BackendId]) -> list[AnyServer]:
         """The servers of these ids that are known, in the order in which they became known."""
         known = (self.servers[number] for number in numbers if number in self.servers)
-        return sorted(known, key=lambda server: server.place)
+        return sorted(known, key=lambda server: server.index)
 
     def update(self, server: AnyServer) -> None:
         """Takes in how a server stands after it was looked at."""
         number, listed = server.number, server.state in RUNNING_STATES
         weight = server.weight if listed and server.warm else 0.0
-        now = Indexed(server.state, server.zone, weight, server.fine)
+        now = Indexed(server.state, server.zone, weight, server.succeeding)
         before = self._indexed.get(number)
         if now != before:
             self._replace(number, before, now)
-        _keep(self.speeds, number, server.speed if listed else 0.0)
-        _keep(self.paces, number, server.pace if weight else 0.0)
+        _set_or_remove(self.capacities_per_weight, number, server.capacity_per_weight if listed else 0.0)
+        _set_or_remove(self.warm_completed_per_s, number, server.completed_per_s if weight else 0.0)
 
     def forget(self, number: BackendId) -> None:
         """A server is no longer known."""
@@ -81,7 +83,13 @@
         if before := self._indexed.pop(number, None):
             self.states[before.state] -= 1
             self._warm_weight = None
-        for noted in (self.ill, self.fine, self.out, self.speeds, self.paces):
+        for noted in (
+            self.ill,
+            self.succeeding,
+            self.out,
+            self.capacities_per_weight,
+            self.warm_completed_per_s,
+        ):
             noted.pop(number, None)
 
     def warm_weight(self) -> float:
@@ -97,15 +105,17 @@
             self._warm_weight = None
         self.states[now.state] += 1
         self._indexed[number] = now
-        _keep(self.ill, number, now.zone, now.state == "ill")
-        _keep(self.fine, number, now.zone, now.state == "ready" and now.fine)
-        _keep(self.out, number, None, now.state == "out")
+        _set_or_remove(self.ill, number, now.zone, now.state == "ill")
+        _set_or_remove(self.succeeding, number, now.zone, now.state == "ready" and now.succeeding)
+        _set_or_remove(self.out, number, None, now.state == "out")
 
 
 Value = TypeVar("Value")
 
 
-def _keep(noted: dict[BackendId, Value], number: BackendId, value: Value, holds: bool | None = None) -> None:
+def _set_or_remove(
+    noted: dict[BackendId, Value], number: BackendId, value: Value, holds: bool | None = None
+) -> None:
     """Notes the value where it holds (by default: where it is not zero), and nothing else."""
     if bool(value) if holds is None else holds:
         noted[number] = value
--- a/lapispass/core/handover_state.py
+++ b/lapispass/core/handover_state.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from lapispass.core.proxies import Proxies
-from lapispass.core.slices import Holdings, Slice
+from lapispass.core.slices import Slice, SliceIndex
 
 PROXIES_NAMED = 5  # in a line of the log
 
@@ -33,15 +33,15 @@
 
 def handover_state(slice_: Slice, proxies: Proxies, now: int) -> HandoverState:
     """How far the handover of a slice is."""
-    waiting = [] if slice_.step == "steady" else proxies.unclear(slice_.mark, now)
-    for_us = now - slice_.stepped_at
+    waiting = [] if slice_.step == "steady" else proxies.unclear(slice_.barrier, now)
+    for_us = now - slice_.step_started_at
     return HandoverState(slice_.step, for_us, len(waiting), tuple(waiting[:PROXIES_NAMED]))
 
 
-def progress(holdings: Holdings, proxies: Proxies, now: int, turns_without_room: int) -> Progress:
+def progress(slice_index: SliceIndex, proxies: Proxies, now: int, turns_without_room: int) -> Progress:
     """How far all handovers are, and which proxy has not answered for longest."""
-    moving = holdings.moving()
-    closing = [now - slice_.stepped_at for slice_ in moving if slice_.step == "closing"]
+    moving = slice_index.moving()
+    closing = [now - slice_.step_started_at for slice_ in moving if slice_.step == "closing"]
     emptied = sum(slice_.step == "emptied" for slice_ in moving)
     proxy, since = proxies.longest_behind()
     behind_us = 0 if proxy is None else now - since
--- a/lapispass/core/repeats.py
+++ b/lapispass/core/repeats.py
@@ -33,7 +33,7 @@
     def discard(self, server: Server) -> None:
         """Its state was said, or need not be."""
         self._some.discard(server.number)
-        if server.place > self._above:
+        if server.index > self._above:
             self._said.add(server.number)
 
     def forget(self, number: BackendId) -> None:
@@ -42,7 +42,7 @@
 
     def has(self, server: Server) -> bool:
         number = server.number
-        return number in self._some or (server.place > self._above and number not in self._said)
+        return number in self._some or (server.index > self._above and number not in self._said)
 
     def __len__(self) -> int:
         return len(self._some) + len(self._said)
--- a/lapispass/core/server_state.py
+++ b/lapispass/core/server_state.py
@@ -15,63 +15,99 @@
     __slots__ = (
         *(
             "alive",
-            "away_us",
-            "born",
-            "born_reported",
-            "busy",
+            "exclusion_us",
+            "started_at",
+            "registry_started_us",
+            "busy_share",
             "entry",
-            "fine",
-            "fit",
-            "fit_at",
+            "succeeding",
+            "admitted_share",
+            "admitted_share_at",
             "gone_at",
-            "good_at",
-            "held",
+            "last_success_at",
+            "held_load",
+        ),
+        *(
+            "registry_state",
+            "failed_probes",
+            "health",
+            "number",
+            "completed_per_s",
+            "index",
+            "next_probe_at",
+            "requests_per_s",
+            "next_reading_at",
+            "has_new_reports",
+        ),
+        *(
+            "health_since",
+            "capacity_per_weight",
+            "state",
+            "traffic",
+            "turn",
+            "waiting",
+            "warm",
+            "weight",
+            "zone",
         ),
-        *("listed", "misses", "mode", "number", "pace", "place", "probe_at", "rate", "read_at", "reported"),
-        *("since", "speed", "state", "traffic", "turn", "waiting", "warm", "weight", "zone"),
     )
 
-    def __init__(self, turn: Turn, number: interface.BackendId, place: int) -> None:
-        self.turn, self.number, self.place = turn, number, place
+    def __init__(self, turn: Turn, number: interface.BackendId, index: int) -> None:
+        self.turn, self.number, self.index = turn, number, index
         self.entry: interface.RegistryEntry | None = None  # as last told
-        self.born_reported = 0  # by the registry's clock; `born` is by ours
-        self.listed, self.zone, self.weight, self.born, self.gone_at = "gone", "", 1.0, 0, NEVER
+        self.registry_started_us = 0  # by the registry's clock; `born` is by ours
+        self.registry_state, self.zone, self.weight, self.started_at, self.gone_at = "gone", "", 1.0, 0, NEVER
         self.alive = False  # as probes have it
-        self.mode, self.since, self.away_us = "well", turn.now, 0
+        self.health, self.health_since, self.exclusion_us = "well", turn.now, 0
         self.traffic: Traffic | None = None
-        self.fit, self.fit_at, self.probe_at, self.misses = 1.0, 0, turn.now, 0
+        self.admitted_share, self.admitted_share_at, self.next_probe_at, self.failed_probes = (
+            1.0,
+            0,
+            turn.now,
+            0,
+        )
         self.waiting: float | None = None
-        self.speed, self.rate, self.busy, self.good_at = 0.0, 0.0, 0.0, turn.now
-        self.held = 0.0  # what held connections cost it, in visits a second
+        self.capacity_per_weight, self.requests_per_s, self.busy_share, self.last_success_at = (
+            0.0,
+            0.0,
+            0.0,
+            turn.now,
+        )
+        self.held_load = 0.0  # what held connections cost it, in visits a second
         # As last read from its traffic: visits done a second, and whether enough do well there.
-        self.pace, self.fine, self.reported, self.read_at = 0.0, False, False, NEVER
+        self.completed_per_s, self.succeeding, self.has_new_reports, self.next_reading_at = (
+            0.0,
+            False,
+            False,
+            NEVER,
+        )
         self.state, self.warm = "unproven", True  # as of the last visit
 
-    def note_traffic(self, report: interface.ServerReport, half_us: int) -> None:
+    def add_report(self, report: interface.ServerReport, half_us: int) -> None:
         """Adds a report to the decaying sums of this half-life."""
         now, done = self.turn.now, report.tries - report.failed
         self.traffic = self.traffic or Traffic(half_us, now)
         self.traffic.add(now, report.tries, report.failed, report.mean_latency_us)
-        self.reported = True
+        self.has_new_reports = True
         if done > 0:
-            self.good_at = now
+            self.last_success_at = now
 
-    def carry(self, rate: float) -> None:
+    def set_rate(self, rate: float) -> None:
         """The visits a second that its slices bring."""
-        if rate or self.rate:
+        if rate or self.requests_per_s:
             self.gone_at = max(self.gone_at, self.turn.now)
-        if not self.rate:
-            self.good_at = self.turn.now
-        self.rate = rate
+        if not self.requests_per_s:
+            self.last_success_at = self.turn.now
+        self.requests_per_s = rate
 
     def status(self) -> ServerStatus:
         """How it stood when it was last looked at."""
-        work = (self.pace, self.busy, self.born, self.held)
+        work = (self.completed_per_s, self.busy_share, self.started_at, self.held_load)
         return ServerStatus(self.number, self.state, self.zone, self.weight, *work)
 
-    def turn_to(self, mode: str, why: str) -> None:
+    def set_health(self, health: str, why: str) -> None:
         """It is well, silent or failing from now on."""
-        if mode != self.mode:
-            self.turn.log(f"backend {self.number} {self.mode}->{mode}: {why}")
-            self.mode, self.since, self.misses = mode, self.turn.now, 0
-            self.good_at = self.turn.now
+        if health != self.health:
+            self.turn.log(f"backend {self.number} {self.health}->{health}: {why}")
+            self.health, self.health_since, self.failed_probes = health, self.turn.now, 0
+            self.last_success_at = self.turn.now
--- a/lapispass/core/part.py
+++ b/lapispass/core/slice_policy.py
@@ -6,26 +6,26 @@
 
 from lapispass.core.fleet_index import AnyServer, FleetIndex
 from lapispass.core.shut_out import ShutOut
-from lapispass.core.slices import Holdings
+from lapispass.core.slices import SliceIndex
 from lapispass.core.turn import Turn
 
-Figures = TypeVar("Figures")
+RulesType = TypeVar("RulesType")
 
 
-class SlicePart(Generic[Figures, AnyServer]):
+class SlicePolicy(Generic[RulesType, AnyServer]):
     """A part that sees the turn, the figures derived at the start, all servers and all slices."""
 
     def __init__(
         self,
         turn: Turn,
-        rules: Figures,
+        rules: RulesType,
         fleet: FleetIndex[AnyServer],
-        holdings: Holdings,
+        slice_index: SliceIndex,
         shut_out: ShutOut,
     ) -> None:
-        self.turn, self.rules, self.fleet, self.holdings = turn, rules, fleet, holdings
+        self.turn, self.rules, self.fleet, self.slice_index = turn, rules, fleet, slice_index
         self.shut_out = shut_out
-        self.begin()
+        self.init_state()
 
-    def begin(self) -> None:
+    def init_state(self) -> None:
         """Sets what the part keeps."""
--- a/lapispass/core/table.py
+++ b/lapispass/core/table.py
@@ -19,27 +19,27 @@
     def __init__(self) -> None:
         self.changed, self.due_at = False, NEVER
 
-    def given(self, number: int, ours: bool) -> None:
+    def slice_granted(self, number: int, ours: bool) -> None:
         """The store puts a slice in this controller's charge, or takes it out."""
 
-    def held(self, number: int, backend: interface.BackendId) -> None:
+    def owner_stored(self, number: int, backend: interface.BackendId) -> None:
         """The owner that the store has for a slice just given."""
 
-    def came(self, report: interface.RequestReport) -> None:
+    def requests_reported(self, report: interface.RequestReport) -> None:
         """Visits that came for a slice."""
 
-    def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
+    def proxy_joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """A proxy's stream stands."""
         self.changed = True
 
-    def left(self, proxy: int) -> None:
+    def proxy_left(self, proxy: int) -> None:
         """A proxy's stream has ended."""
 
-    def evaluated(self, server: ServerState) -> None:
+    def server_evaluated(self, server: ServerState) -> None:
         """A server was looked at: its health or its place in the list may have changed."""
         self.changed = True
 
-    def forget(self, number: interface.BackendId) -> bool:
+    def forget_server(self, number: interface.BackendId) -> bool:
         """A server is gone for good; False while something has still to be said of it."""
         raise NotImplementedError
 
@@ -54,11 +54,11 @@
         """Where something has changed or is due, acts as soon as the channel offers a turn."""
         if not (self.changed or now >= self.due_at):
             return
-        offer = ask()
-        self.changed, self.due_at = offer is None, now + every_us
-        if offer is not None:
-            self.due_at = max(now + every_us, self.act(offer))
+        budget = ask()
+        self.changed, self.due_at = budget is None, now + every_us
+        if budget is not None:
+            self.due_at = max(now + every_us, self.act(budget))
 
-    def act(self, offer: SendBudget) -> int:
+    def act(self, budget: SendBudget) -> int:
         """Orders what follows from the news; returns when something is due next."""
         raise NotImplementedError
--- a/lapispass/policy/channel.py
+++ b/lapispass/policy/channel.py
@@ -15,40 +15,44 @@
     """How much may be written to the proxies, and when."""
 
     def __init__(self, turn: Turn, rules: Rules, proxies: int) -> None:
-        known = Proxies(range(proxies), turn.now, rules.keep_us, rules.lease_us)
+        known = Proxies(range(proxies), turn.now, rules.retention_us, rules.lease_us)
         slowest = DecayingSum(8 * SECOND_US, float(SECOND_US), turn.now)
         super().__init__(turn, known, rules.lines_per_us, slowest)
-        self.rules, self.head_lines, self.first = rules, rules.head_lines, list(rules.first)
+        self.rules, self.head_lines, self.first = (
+            rules,
+            rules.message_overhead_lines,
+            list(rules.initial_orders),
+        )
 
     def messages_left(self) -> int:
         """How many messages the span allows still; one is always kept."""
-        while self.written and self.written[0] <= self.turn.now - self.rules.messages_over_us:
+        while self.written and self.written[0] <= self.turn.now - self.rules.message_window_us:
             self.written.popleft()
-        return self.rules.messages_most - 1 - len(self.written)
+        return self.rules.max_messages - 1 - len(self.written)
 
     def next_message_at(self, left: int) -> int:
         """When the next message may be written."""
         rules, last = self.rules, self.written[-1] if self.written else -NEVER
         # Guards large fleets: in a stream of small messages the heads alone would fill the channel.
-        gap = max(rules.gap_us, self.joined * rules.heads_us)
+        gap = max(rules.message_gap_us, self.joined * rules.message_gap_per_proxy_us)
         # Guards the next withdrawal where messages are limited: the last half of them is spread over what
         # is left of their span, or a busy stretch would be followed by seconds without any.
-        if 2 * left < rules.messages_most and self.written:
-            gap = max(gap, (self.written[0] + rules.messages_over_us - self.turn.now) // max(1, left))
+        if 2 * left < rules.max_messages and self.written:
+            gap = max(gap, (self.written[0] + rules.message_window_us - self.turn.now) // max(1, left))
         return last + gap
 
-    def offer(self) -> SendBudget | None:
+    def send_budget(self) -> SendBudget | None:
         """What may be written now."""
         now, rules, joined, left = self.turn.now, self.rules, self.joined, self.messages_left()
         if min(left, joined) <= 0 or now < self.next_message_at(left):
             return None
         backlog = self.backlog()
-        room = min(rules.queue_lines / 2 - backlog, 0.8 * rules.queue_lines - self.unsure())
-        lines = int(room / joined - rules.head_lines - 2)
+        room = min(rules.queue_limit_lines / 2 - backlog, 0.8 * rules.queue_limit_lines - self.unsure())
+        lines = int(room / joined - rules.message_overhead_lines - 2)
         if lines <= 0:
             return None
         settle_us = min(int(self.slowest.read(now)), rules.lease_us * 9 // 10)
-        idle = (lines + 1) // 2 if backlog < rules.queue_lines / 8 else 0  # where the queue is tight
-        ordinary = max(idle, lines - int(rules.queue_lines / 4 / joined))
-        may = left > rules.messages_most // 3
+        idle = (lines + 1) // 2 if backlog < rules.queue_limit_lines / 8 else 0  # where the queue is tight
+        ordinary = max(idle, lines - int(rules.queue_limit_lines / 4 / joined))
+        may = left > rules.max_messages // 3
         return SendBudget(lines, may * ordinary, self.mark + 1, settle_us, self.unmarked)
--- a/lapispass/policy/placement.py
+++ b/lapispass/policy/placement.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from lapispass.core.messages import RUNNING_STATES
-from lapispass.core.part import SlicePart
+from lapispass.core.slice_policy import SlicePolicy
 from lapispass.core.slices import Slice
 from lapispass.core.units import NEVER
 from lapispass.interface import BackendId
@@ -13,89 +13,102 @@
 from lapispass.policy.rules import Rules
 
 
-class Placement(SlicePart[Rules, Backend]):
+class Placement(SlicePolicy[Rules, Backend]):
     """Choices among all servers. Sums over all of them are made only where an owner is chosen."""
 
-    def begin(self) -> None:
-        self.survey()
+    def init_state(self) -> None:
+        self.refresh()
 
-    def survey(self) -> None:
+    def refresh(self) -> None:
         """What holds for this turn: zones where most are ill, the usual speed, the owners' loads."""
         # Guards against blaming servers for what strikes all, or most of a zone; the rest could not carry it.
         # Only those count of which enough is heard: each controller hears of few visits at most servers.
-        ill, fine = Counter(self.fleet.ill.values()), Counter(self.fleet.fine.values())
+        ill, fine = Counter(self.fleet.ill.values()), Counter(self.fleet.succeeding.values())
         most = 3 * ill.total() > ill.total() + fine.total()
-        self.struck = {zone for zone in ill if most or ill[zone] > max(1, (ill[zone] + fine[zone]) // 2)}
+        self.zones_mostly_ill = {
+            zone for zone in ill if most or ill[zone] > max(1, (ill[zone] + fine[zone]) // 2)
+        }
         # With other controllers a server's speed is known in part only: own visits against all that keep it
         # busy. Then the fleet's speed counts, and what a server does for others comes on top of its load.
-        self.part = max(1, len(self.holdings.slices)) / self.rules.slices
-        speeds = self.fleet.speeds.values() or [self.part]
-        self.usual = sum(speeds) / len(speeds) / self.part
-        self.loads = {owner: self.holdings.rate(owner) for owner in self.holdings.owned}
-        self.targets: list[BackendId] | None = None
-        self.weighed: dict[BackendId, tuple[float, float]] = {}
+        self.slice_share = max(1, len(self.slice_index.slices)) / self.rules.slice_count
+        speeds = self.fleet.capacities_per_weight.values() or [self.slice_share]
+        self.mean_capacity_per_weight = sum(speeds) / len(speeds) / self.slice_share
+        self.loads = {owner: self.slice_index.rate(owner) for owner in self.slice_index.by_owner}
+        self.candidates: list[BackendId] | None = None
+        self.baselines: dict[BackendId, tuple[float, float]] = {}
 
     def is_open(self, number: BackendId) -> bool:
         """Whether a server may own slices: listed, and not ill where the others are well."""
         server = self.fleet.servers.get(number)
         if server is None or server.state not in RUNNING_STATES:
             return False
-        return server.state != "ill" or server.zone in self.struck
+        return server.state != "ill" or server.zone in self.zones_mostly_ill
 
     def any_open(self) -> bool:
         """Whether any server may own slices."""
-        return self.fleet.states["ready"] + self.fleet.states["unproven"] > 0 or bool(self.struck)
+        return self.fleet.states["ready"] + self.fleet.states["unproven"] > 0 or bool(self.zones_mostly_ill)
 
-    def able(self, server: Backend) -> float:
+    def capacity(self, server: Backend) -> float:
         """The visits a second that a server can do now."""
-        speed = (self.part == 1 and server.speed) or self.usual
+        speed = (self.slice_share == 1 and server.capacity_per_weight) or self.mean_capacity_per_weight
         return server.weight * max(1e-3, server.warmth()) * speed
 
-    def others(self, server: Backend, able: float) -> float:
+    def other_load(self, server: Backend, capacity: float) -> float:
         """What a server that is able to so much does beside the slices here, in visits a second."""
         # Held connections are such work; where busy shares tell of all that is not ours, they are part of it.
-        return max(server.held, (self.part < 1) * (server.busy * able - server.pace))
+        return max(
+            server.held_load, (self.slice_share < 1) * (server.busy_share * capacity - server.completed_per_s)
+        )
 
-    def weigh(self, number: BackendId) -> tuple[float, float]:
+    def baseline(self, number: BackendId) -> tuple[float, float]:
         """What a server does beside the slices here, and the work by which its load is measured."""
         server = self.fleet.servers[number]
-        able = self.able(server)
+        capacity = self.capacity(server)
         # Guards a server just started: until reports can tell its load, it counts by the part let in there.
-        fresh = self.turn.now < server.born + self.rules.echo_us and server.warmth() < 1
-        return self.others(server, able), (self.rules.cold_part if fresh else 1.0) * able
+        fresh = self.turn.now < server.started_at + self.rules.feedback_delay_us and server.warmth() < 1
+        return self.other_load(server, capacity), (
+            self.rules.cold_capacity_factor if fresh else 1.0
+        ) * capacity
 
     def load_with(self, number: BackendId, slice_: Slice) -> float:
         """A server's load per weight with this slice."""
-        if (weighed := self.weighed.get(number)) is None:
-            weighed = self.weighed[number] = self.weigh(number)
-        return (self.loads.get(number, 0.0) + weighed[0] + slice_.rate) / weighed[1]
+        if (baselines := self.baselines.get(number)) is None:
+            baselines = self.baselines[number] = self.baseline(number)
+        return (self.loads.get(number, 0.0) + baselines[0] + slice_.rate) / baselines[1]
 
-    def choose(self, slice_: Slice) -> BackendId | None:
+    def choose_owner(self, slice_: Slice) -> BackendId | None:
         """The server with least load per listed weight, a cold one counted by what it surely can do."""
-        if self.targets is None:
+        if self.candidates is None:
             ready = [number for number, server in self.fleet.servers.items() if server.state == "ready"]
-            self.targets = ready or [number for number in self.fleet.servers if self.is_open(number)]
-        return min(self.targets, key=lambda number: self.load_with(number, slice_), default=None)
+            self.candidates = ready or [number for number in self.fleet.servers if self.is_open(number)]
+        return min(self.candidates, key=lambda number: self.load_with(number, slice_), default=None)
 
-    def give(self, slice_: Slice, owner: BackendId) -> None:
+    def assign(self, slice_: Slice, owner: BackendId) -> None:
         """A slice gets an owner in this turn."""
         self.loads[owner] = self.loads.get(owner, 0.0) + slice_.rate
-        self.holdings.assign(slice_, owner)
+        self.slice_index.assign(slice_, owner)
 
     def excess(self, server: Backend) -> float:
         """Visits a second that an owner does not let in, or beyond nine tenths of its work."""
-        load, able = self.loads.get(server.number, 0.0), self.able(server)
-        over = load + self.others(server, able) - 0.9 * able if server.speed else -NEVER
-        return max(load * (1 - server.fit), over)
-
-    def to_relieve(self) -> list[Slice]:
+        load, capacity = self.loads.get(server.number, 0.0), self.capacity(server)
+        over = (
+            load + self.other_load(server, capacity) - 0.9 * capacity
+            if server.capacity_per_weight
+            else -NEVER
+        )
+        return max(load * (1 - server.admitted_share), over)
+
+    def slices_to_relieve(self) -> list[Slice]:
         """Slices whose owner lets in less than comes or is nearly all busy, where another has room."""
         now, chosen = self.turn.now, []
-        several = [owner for owner, mine in self.holdings.owned.items() if len(mine) > 1]
+        several = [owner for owner, mine in self.slice_index.by_owner.items() if len(mine) > 1]
         for server in self.fleet.in_order(filter(self.is_open, several)):
-            if now < self.holdings.relief_at.get(server.number, 0) or (excess := self.excess(server)) <= 0:
+            if (
+                now < self.slice_index.next_relief_at.get(server.number, 0)
+                or (excess := self.excess(server)) <= 0
+            ):
                 continue
-            mine = [s for s in self.holdings.owned[server.number].values() if s.may_leave(now)]
+            mine = [s for s in self.slice_index.by_owner[server.number].values() if s.may_leave(now)]
             if len(mine) < 2:
                 continue
             mine.sort(key=lambda slice_: (slice_.rate, slice_.serial))
@@ -103,22 +116,26 @@
             if self.has_room(server, slice_):
                 chosen.append(slice_)
             else:  # reports tell of room elsewhere
-                self.holdings.relief_at[server.number] = now + self.rules.pause_us
+                self.slice_index.next_relief_at[server.number] = now + self.rules.update_interval_us
         return chosen
 
     def has_room(self, owner: Backend, slice_: Slice) -> bool:
         """Whether another server would end up clearly below the owner's load with this slice."""
-        target = self.choose(slice_)
+        target = self.choose_owner(slice_)
         if target is None or target == owner.number:
             return False
-        able = self.able(owner)
-        load = self.loads.get(owner.number, 0.0) + self.others(owner, able)
-        level = (min(load, able) if owner.speed else load) / able
-        return self.fleet.servers[target].fit >= 1 and self.load_with(target, slice_) < 0.75 * level
+        capacity = self.capacity(owner)
+        load = self.loads.get(owner.number, 0.0) + self.other_load(owner, capacity)
+        level = (min(load, capacity) if owner.capacity_per_weight else load) / capacity
+        return (
+            self.fleet.servers[target].admitted_share >= 1 and self.load_with(target, slice_) < 0.75 * level
+        )
 
     def next_relief(self) -> int:
         """When relief is looked for again, for an owner that could not be relieved."""
         times = [
-            at for owner, at in self.holdings.relief_at.items() if len(self.holdings.owned.get(owner, ())) > 1
+            at
+            for owner, at in self.slice_index.next_relief_at.items()
+            if len(self.slice_index.by_owner.get(owner, ())) > 1
         ]
         return min((at for at in times if at > self.turn.now), default=NEVER)
--- a/tests/full_look.py
+++ b/tests/full_look.py
@@ -6,7 +6,7 @@
 
 from lapispass import interface
 from lapispass.controller import Controller
-from lapispass.policy.handovers import Ledger
+from lapispass.policy.handovers import Handovers
 
 
 class FullLook(Controller):
@@ -15,9 +15,9 @@
     def turn(self, now: int, events: Sequence[interface.Event]) -> list[interface.Order]:
         self.current.updated_servers.update(self.backends)
         self.table.changed = True
-        if isinstance(self.table, Ledger):
-            holdings = self.table.holdings
-            holdings.touched.update(holdings.slices)
-            holdings.changed.update(dict.fromkeys(holdings.owned))
-            holdings.unsettled.update(holdings.owned)
+        if isinstance(self.table, Handovers):
+            slice_index = self.table.slice_index
+            slice_index.updated.update(slice_index.slices)
+            slice_index.changed_owners.update(dict.fromkeys(slice_index.by_owner))
+            slice_index.admission_pending.update(slice_index.by_owner)
         return super().turn(now, events)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -101,7 +101,7 @@
         shut_out.out,
         shut_out.again,
         shut_out.said,
-        table.holdings.relief_at,
+        table.slice_index.next_relief_at,
         placement.loads,
     ):
         assert len(held) <= 8
--- a/tests/test_due_look.py
+++ b/tests/test_due_look.py
@@ -15,7 +15,7 @@
 from lapispass import interface
 from lapispass.controller import Controller
 from lapispass.lab import fleet as days
-from lapispass.policy.handovers import Ledger
+from lapispass.policy.handovers import Handovers
 from lapispass.policy.health import Backend
 from lapispass.standins.fleet import World
 from lapispass.standins.fleet_parties import MS, SECOND, Size, deployment
@@ -214,14 +214,14 @@
 def test_a_due_time_that_is_forgotten_is_found(skipped: str, monkeypatch) -> None:
     """The comparison can fail: each kind of due time, left out, shows as another order."""
     if skipped == "slices":
-        read_rates = Ledger.read_rates
+        read_rates = Handovers.read_rates
 
-        def late(ledger: Ledger) -> None:
-            read_rates(ledger)
-            for number in ledger.holdings.slices:
-                ledger.holdings.agenda.forget(number)
+        def late(handovers: Handovers) -> None:
+            read_rates(handovers)
+            for number in handovers.slice_index.slices:
+                handovers.slice_index.agenda.forget(number)
 
-        monkeypatch.setattr(Ledger, "read_rates", late)
+        monkeypatch.setattr(Handovers, "read_rates", late)
     else:
         evaluate = Backend.evaluate
 
@@ -230,7 +230,7 @@
             match skipped:
                 case "probe" if server.state in ("unproven", "ill"):
                     return at + 3 * SECOND
-                case "silence" if server.rate and server.mode == "well":
+                case "silence" if server.requests_per_s and server.health == "well":
                     return at + 5 * SECOND
                 case "warming" if not server.warm:
                     return at + 5 * SECOND
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -123,14 +123,14 @@
 
 def test_the_checker_finds_a_channel_counted_at_its_pace_while_it_stands(monkeypatch) -> None:
     """As on the full fleet: answers were not looked at, and the model emptied a channel that stood."""
-    offer = Channel.offer
+    send_budget = Channel.send_budget
 
     def blind(channel: Channel) -> SendBudget | None:
         channel.left = channel.lines
         channel.turns.clear()
-        return offer(channel)
+        return send_budget(channel)
 
-    monkeypatch.setattr(Channel, "offer", blind)
+    monkeypatch.setattr(Channel, "send_budget", blind)
     size = Size(2, 24, 30)
     found = [
         breach
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -109,7 +109,7 @@
 def test_late_sums_and_answers_wait_for_the_next_look_and_an_announcement_does_not(monkeypatch) -> None:
     """A large fleet brings some in every turn: a look at all servers for each took all the process's time."""
     looks = []
-    monkeypatch.setattr(Backend, "judge", lambda backend: looks.append(backend.number))
+    monkeypatch.setattr(Backend, "update_health", lambda backend: looks.append(backend.number))
     fleet = Fleet(deployment(proxies=40, slices=60), 60, seed=17, ran_s=0.1)
     looks.clear()
     turn, now = fleet.controller.turn, fleet.now
--- a/tests/test_launch.py
+++ b/tests/test_launch.py
@@ -149,7 +149,9 @@
     )
     assert {name: repr(value) for name, value in vars(first.rules).items()} == before
     assert (
-        not first.backends and not first.table.holdings.slices and first.rules.classes != second.rules.classes
+        not first.backends
+        and not first.table.slice_index.slices
+        and first.rules.classes_by_value != second.rules.classes_by_value
     )
     shared = [
         name
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -58,12 +58,14 @@
     controller = Controller(deployment(), 1, now)
     controller.turn(now, events_to_running([server(n) for n in range(3)], 4, 6))
     controller.turn(now, [registry_changes(server(9, started_us=now)), interface.ProbeResult(9, 0, MS, None)])
-    slice_, loads = controller.table.holdings.slices[0], []
+    slice_, loads = controller.table.slice_index.slices[0], []
     for age in (1, 4):
         controller.turn(now + age * SECOND, [])
         placement = controller.table.placement
-        placement.survey()
-        loads.append(placement.load_with(9, slice_) * placement.able(controller.backends[9]) / slice_.rate)
+        placement.refresh()
+        loads.append(
+            placement.load_with(9, slice_) * placement.capacity(controller.backends[9]) / slice_.rate
+        )
     assert loads == [pytest.approx(2), pytest.approx(1)]
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -126,7 +126,7 @@
     assert {order.backend for order in told if isinstance(order, interface.SetWithdrawn)} == {
         f"s-{n}" for n in range(0, MANY, 2)
     }
-    owners = [slice_.owner for slice_ in controller.table.holdings.slices.values()]
+    owners = [slice_.owner for slice_ in controller.table.slice_index.slices.values()]
     assert len(owners) == 2 * MANY and all(owner and int(owner[2:]) % 2 for owner in owners)
 
 
@@ -228,14 +228,14 @@
                         controller.agenda,
                         controller.current.updated_servers,
                         controller.current.awaiting_reports,
-                        controller.fleet.paces,
+                        controller.fleet.warm_completed_per_s,
                         table.shut_out.out,
                         table.shut_out.again,
                         table.shut_out.repeats,
                         table.shut_out.said,
-                        table.holdings.relief_at,
-                        table.holdings.unsettled,
-                        table.holdings.agenda,
+                        table.slice_index.next_relief_at,
+                        table.slice_index.admission_pending,
+                        table.slice_index.agenda,
                         channel.turns,
                         channel.written,
                         channel.proxies,
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -180,7 +180,7 @@
     now += SECOND
     controller.turn(now, [interface.ProxyLeft(0)])  # nobody is there to be told
     controller.turn(now, [interface.RegistryUpdate("changes", (entries[0]._replace(state="gone"),))])
-    now += controller.rules.keep_us + SECOND
+    now += controller.rules.retention_us + SECOND
     controller.turn(now, [])
     assert "a" in controller.backends and controller.backends["a"].state == "past"
     orders = controller.turn(now + SECOND, [interface.ProxyJoined(0, False, "east", 1.0)])
