--- a/lapispass/core/server_state.py
+++ b/lapispass/core/server_state.py
@@ -58,7 +58,7 @@
         self.registry_started_us = 0  # by the registry's clock; `born` is by ours
         self.registry_state, self.zone, self.weight, self.started_at, self.gone_at = "gone", "", 1.0, 0, NEVER
         self.alive = False  # as probes have it
-        self.health, self.health_since, self.exclusion_us = "well", turn.now, 0
+        self.health, self.health_since, self.exclusion_us = "healthy", turn.now, 0
         self.traffic: Traffic | None = None
         self.admitted_share, self.admitted_share_at, self.next_probe_at, self.failed_probes = (
             1.0,
--- a/lapispass/policy/rules.py
+++ b/lapispass/policy/rules.py
@@ -1,22 +1,33 @@
-"""The figures that decisions use, derived from the deployment at the start."""
+"""Derives the figures that decisions use from the deployment."""
 
 from __future__ import annotations
 
 from lapispass import interface
 from lapispass.core.units import SECOND_US
 
-# PROTOCOL, "Figures": what discovery has to tell counts as told no later than 6 s on.
+# The protocol ("Figures"): every change in the registry counts as reported 6 s later at the latest.
 REGISTRY_DELAY_US = 6 * SECOND_US
 URGENT_EVENTS = (
     interface.RegistryUpdate | interface.SliceGrant | interface.StoredOwner
-)  # acted on in the turn that brings them
+)  # cause an evaluation in the turn in which they are received
 
 
 class Rules:
-    """The few figures that decisions use, derived from the deployment at the start."""
+    """Time-outs, intervals and limits, computed once from the deployment. Times are in microseconds.
+
+    - `retention_us`: no decision looks further back than this.
+    - `feedback_delay_us`: how long a change takes to show in the reports.
+    - `silence_us`: a server without a successful request for this long is suspected to be unresponsive.
+    - `evaluation_interval_us`: the time between evaluations that are not urgent, and of ongoing handovers.
+    - `update_interval_us`: the time between readings of rates, and between admission updates that are not
+      urgent.
+    - `message_gap_us`: the least time between two messages.
+    - `message_gap_per_proxy_us`: the same for each proxy that has joined, so that the overhead of messages
+      takes up at most a quarter of the channel.
+    """
 
     def __init__(self, deployment: interface.Deployment) -> None:
-        places = list(enumerate(deployment.classes))
+        classes = list(enumerate(deployment.classes))
         self.lease_us, self.linger_us, self.unserved_limit_us = (
             deployment.lease_us,
             deployment.linger_us,
@@ -24,37 +35,39 @@
         )
         self.retention_us = deployment.lease_us + deployment.linger_us + deployment.unserved_limit_us
         self.cold_us, self.cold_share = max(1, deployment.cold_us), deployment.cold_share
-        self.cold_capacity_factor = (
-            deployment.cold_overload_factor / 5
-        )  # its caches are cold too, and estimates are late
-        self.write_classes = [place for place, kind in places if kind.writes]
-        self.same_zone_classes = sum(1 << place for place, kind in places if kind.same_zone_only)
-        self.any_zone_classes = sum(1 << place for place, kind in places if not kind.same_zone_only)
+        # The caches of a cold server are cold too, and estimates of its load are late.
+        self.cold_capacity_factor = deployment.cold_overload_factor / 5
+        self.write_classes = [index for index, kind in classes if kind.writes]
+        self.same_zone_classes = sum(1 << index for index, kind in classes if kind.same_zone_only)
+        self.any_zone_classes = sum(1 << index for index, kind in classes if not kind.same_zone_only)
         self.zone_tables = {
-            zone: 1 + place for place, zone in enumerate(deployment.zones) if self.same_zone_classes
+            zone: 1 + index for index, zone in enumerate(deployment.zones) if self.same_zone_classes
         }
         self.slice_count, self.without_slices, self.load_fields = (
             max(1, deployment.slices),
             not deployment.slices,
             deployment.load_fields,
         )
-        # Guards what must not run twice, or only within its group and window: a class that may not simply be
-        # repeated is tried again on proof alone that it never ran, and that is said before all else.
+        # Requests of a class that is not repeatable must not run twice, or only within their group and
+        # window. They are retried only if they provably never ran (1). This is ordered before anything else.
         self.retries = [
             min(deployment.default_retry, 3 if kind.repeatable else 1) for kind in deployment.classes
         ]
-        careful = sum(
-            1 << place for place, retry in enumerate(self.retries) if retry < deployment.default_retry
+        non_repeatable = sum(
+            1 << index for index, retry in enumerate(self.retries) if retry < deployment.default_retry
         )
         self.classes_by_value = sorted(
-            ((kind.value, place, kind.name) for place, kind in places), reverse=True
+            ((kind.value, index, kind.name) for index, kind in classes), reverse=True
         )
         self.uses_shares, self.can_block_writes = (
             deployment.admission_mode == "share",
             deployment.admission_mode != "none",
-        )  # a rate is only shut or open
+        )
+        # In 'rate' mode a level either admits nothing or everything.
         self.admit_all = 1.0 if self.uses_shares else 1e6
-        self.initial_orders = [interface.SetAdmission(None, careful, 1, self.admit_all)] if careful else []
+        self.initial_orders = (
+            [interface.SetAdmission(None, non_repeatable, 1, self.admit_all)] if non_repeatable else []
+        )
         self.mean_deadline_us = sum(kind.deadline_us for kind in deployment.classes) / max(
             1, len(deployment.classes)
         )
@@ -62,15 +75,12 @@
             deployment.report_interval_us + SECOND_US,
             2 * deployment.report_interval_us + SECOND_US,
         )
-        # A move bares a slice for the longest write and about 2 s: worth it where more is lost in 10 s.
+        # A handover leaves a slice unserved for the linger time and about 2 s more. It is worth that if the
+        # failing server would lose more than this within 10 s.
         self.failure_ratio = min(0.9, max(0.4, (deployment.linger_us + 2 * SECOND_US) / (10 * SECOND_US)))
         self.registry_delay_us = REGISTRY_DELAY_US
-        self.evaluation_interval_us = (
-            SECOND_US // 20
-        )  # between looks at news that can wait, and at what moves
-        self.update_interval_us = max(
-            self.evaluation_interval_us, deployment.report_interval_us // 2
-        )  # between ordinary levels, and readings
+        self.evaluation_interval_us = SECOND_US // 20
+        self.update_interval_us = max(self.evaluation_interval_us, deployment.report_interval_us // 2)
         self.probes_allowed, self.must_leave_gone = (
             deployment.probes_allowed,
             deployment.must_leave_gone or not deployment.probes_allowed,
--- a/tests/test_due_look.py
+++ b/tests/test_due_look.py
@@ -230,7 +230,7 @@
             match skipped:
                 case "probe" if server.state in ("unproven", "ill"):
                     return at + 3 * SECOND
-                case "silence" if server.requests_per_s and server.health == "well":
+                case "silence" if server.requests_per_s and server.health == "healthy":
                     return at + 5 * SECOND
                 case "warming" if not server.warm:
                     return at + 5 * SECOND
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -13,7 +13,7 @@
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
     fleet.unresponsive.add(101)
     fleet.run(12)
-    assert 101 not in fleet.owners() and any("silent" in line for line in fleet.logs)
+    assert 101 not in fleet.owners() and any("unresponsive" in line for line in fleet.logs)
     fleet.unresponsive.clear()
     for _ in range(8):
         fleet.events.append(interface.ServerReport(103, "east", 30, 50, 1900 * MS, SECOND, None))
@@ -74,7 +74,7 @@
     fleet.events += [interface.ProbeResult(n, 3, 1000, None) for n in (101, 103)]
     fleet.failing_tries.clear()
     fleet.run(5)
-    assert sum("failing->well" in line for line in fleet.logs) == 4
+    assert sum("failing->healthy" in line for line in fleet.logs) == 4
     fleet.run(12)
     assert all(table.owner == 100 + s % 12 for s, table in fleet.store.items()), "nothing was moved"
 
@@ -83,7 +83,7 @@
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
     fleet.unresponsive.update(fleet.registry)
     fleet.run(9)
-    assert not any("silent" in line for line in fleet.logs)
+    assert not any("unresponsive" in line for line in fleet.logs)
 
 
 def test_a_listed_server_that_answers_nothing_gets_no_slices() -> None:
