--- a/lapispass/core/fleet_index.py
+++ b/lapispass/core/fleet_index.py
@@ -1,4 +1,4 @@
-"""All servers that a controller knows, with the sums over them that are needed often, kept by differences."""
+"""All servers that a controller knows, with sums over them that are updated incrementally."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Server(Protocol):
-    """What the index reads of a server."""
+    """The attributes of a server that the index reads."""
 
     number: BackendId
-    index: int  # in the order in which servers became known
+    index: int  # its position in the order in which servers became known
     state: str
     zone: str
     weight: float
@@ -24,50 +24,48 @@
     capacity_per_weight: float
 
     def set_rate(self, rate: float) -> None:
-        """The visits a second that its slices bring."""
+        """Sets the requests a second that its slices bring."""
 
 
 AnyServer = TypeVar("AnyServer", bound=Server)
 
 
 class Indexed(NamedTuple):
-    """What the sums hold of a server."""
+    """What a server contributes to the sums."""
 
     state: str
     zone: str
-    warm_weight: float  # 0 where it is cold or not listed
+    warm_weight: float  # 0 while it is cold or not running
     succeeding: bool
 
 
 class FleetIndex(Generic[AnyServer]):
-    """Servers by id, and those in which something is to be noted."""
+    """Servers by id, and collections of those in certain states."""
 
     def __init__(self) -> None:
         self.servers: dict[BackendId, AnyServer] = {}
         self.states: Counter[str] = Counter()
-        self.ill: dict[BackendId, str] = {}  # with their zones
-        self.succeeding: dict[
-            BackendId, str
-        ] = {}  # ready ones at which enough visits did well, with their zones
-        self.out: dict[BackendId, None] = {}  # in the state "out"
-        self.capacities_per_weight: dict[BackendId, float] = {}  # of those that are listed and were measured
-        self.warm_completed_per_s: dict[BackendId, float] = {}  # of those that are listed and warm
+        self.ill: dict[BackendId, str] = {}  # the zones of ill servers
+        self.succeeding: dict[BackendId, str] = {}  # the zones of ready servers at which most tries succeed
+        self.out: dict[BackendId, None] = {}  # servers in the state "out"
+        self.capacities_per_weight: dict[BackendId, float] = {}  # of running ones, where it was measured
+        self.warm_completed_per_s: dict[BackendId, float] = {}  # of running and warm servers
         self._indexed: dict[BackendId, Indexed] = {}
         self._warm_weight: float | None = None
-        self.last_index = 0  # of the server that became known last
+        self.last_index = 0  # the index of the server that became known last
 
     def next_index(self) -> int:
-        """The place of a server that becomes known now."""
+        """The index for a server that becomes known now."""
         self.last_index += 1
         return self.last_index
 
     def in_order(self, numbers: Iterable[BackendId]) -> list[AnyServer]:
-        """The servers of these ids that are known, in the order in which they became known."""
+        """The known servers among these, in the order in which they became known."""
         known = (self.servers[number] for number in numbers if number in self.servers)
         return sorted(known, key=lambda server: server.index)
 
     def update(self, server: AnyServer) -> None:
-        """Takes in how a server stands after it was looked at."""
+        """Updates the sums after a server's evaluation."""
         number, listed = server.number, server.state in RUNNING_STATES
         weight = server.weight if listed and server.warm else 0.0
         now = Indexed(server.state, server.zone, weight, server.succeeding)
@@ -78,24 +76,24 @@
         _set_or_remove(self.warm_completed_per_s, number, server.completed_per_s if weight else 0.0)
 
     def forget(self, number: BackendId) -> None:
-        """A server is no longer known."""
+        """Removes a server."""
         del self.servers[number]
         if before := self._indexed.pop(number, None):
             self.states[before.state] -= 1
             self._warm_weight = None
-        for noted in (
+        for collection in (
             self.ill,
             self.succeeding,
             self.out,
             self.capacities_per_weight,
             self.warm_completed_per_s,
         ):
-            noted.pop(number, None)
+            collection.pop(number, None)
 
     def warm_weight(self) -> float:
-        """The listed weight of all servers that are listed and warm."""
+        """The summed weight of all servers that are running and warm."""
         if self._warm_weight is None:
-            self._warm_weight = sum(one.warm_weight for one in self._indexed.values())
+            self._warm_weight = sum(indexed.warm_weight for indexed in self._indexed.values())
         return self._warm_weight
 
     def _replace(self, number: BackendId, before: Indexed | None, now: Indexed) -> None:
@@ -114,10 +112,10 @@
 
 
 def _set_or_remove(
-    noted: dict[BackendId, Value], number: BackendId, value: Value, holds: bool | None = None
+    collection: dict[BackendId, Value], number: BackendId, value: Value, keep: bool | None = None
 ) -> None:
-    """Notes the value where it holds (by default: where it is not zero), and nothing else."""
-    if bool(value) if holds is None else holds:
-        noted[number] = value
+    """Sets the value, or removes it if it is not to be kept (by default: if it is zero)."""
+    if bool(value) if keep is None else keep:
+        collection[number] = value
     else:
-        noted.pop(number, None)
+        collection.pop(number, None)
--- a/lapispass/core/server_state.py
+++ b/lapispass/core/server_state.py
@@ -1,4 +1,4 @@
-"""What a controller holds of one server. The judgement is the policy's."""
+"""What a controller knows about one server; `policy/health.py` derives the server's state from it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ServerState:
-    """One server as the list, reports and probes have told it. Times in microseconds."""
+    """One server by the registry, reports and probes. Times are in microseconds by the controller's clock."""
 
     __slots__ = (
         *(
@@ -54,10 +54,10 @@
 
     def __init__(self, turn: Turn, number: interface.BackendId, index: int) -> None:
         self.turn, self.number, self.index = turn, number, index
-        self.entry: interface.RegistryEntry | None = None  # as last told
-        self.registry_started_us = 0  # by the registry's clock; `born` is by ours
+        self.entry: interface.RegistryEntry | None = None  # as last received
+        self.registry_started_us = 0  # `started_at` by the registry's clock
         self.registry_state, self.zone, self.weight, self.started_at, self.gone_at = "gone", "", 1.0, 0, NEVER
-        self.alive = False  # as probes have it
+        self.alive = False  # by its probes
         self.health, self.health_since, self.exclusion_us = "healthy", turn.now, 0
         self.traffic: Traffic | None = None
         self.admitted_share, self.admitted_share_at, self.next_probe_at, self.failed_probes = (
@@ -73,41 +73,41 @@
             0.0,
             turn.now,
         )
-        self.held_load = 0.0  # what held connections cost it, in visits a second
-        # As last read from its traffic: visits done a second, and whether enough do well there.
+        self.held_load = 0.0  # the load of held connections, in requests a second
+        # As last read from its traffic: requests completed a second, and whether most tries succeed.
         self.completed_per_s, self.succeeding, self.has_new_reports, self.next_reading_at = (
             0.0,
             False,
             False,
             NEVER,
         )
-        self.state, self.warm = "unproven", True  # as of the last visit
+        self.state, self.warm = "unproven", True  # as of the last evaluation; see `Backend.classify`
 
-    def add_report(self, report: interface.ServerReport, half_us: int) -> None:
-        """Adds a report to the decaying sums of this half-life."""
-        now, done = self.turn.now, report.tries - report.failed
-        self.traffic = self.traffic or Traffic(half_us, now)
+    def add_report(self, report: interface.ServerReport, half_life_us: int) -> None:
+        """Adds a report to the decaying sums, which have this half-life."""
+        now, succeeded = self.turn.now, report.tries - report.failed
+        self.traffic = self.traffic or Traffic(half_life_us, now)
         self.traffic.add(now, report.tries, report.failed, report.mean_latency_us)
         self.has_new_reports = True
-        if done > 0:
+        if succeeded > 0:
             self.last_success_at = now
 
-    def set_rate(self, rate: float) -> None:
-        """The visits a second that its slices bring."""
-        if rate or self.requests_per_s:
+    def set_rate(self, requests_per_s: float) -> None:
+        """Sets the requests a second that its slices bring."""
+        if requests_per_s or self.requests_per_s:
             self.gone_at = max(self.gone_at, self.turn.now)
         if not self.requests_per_s:
             self.last_success_at = self.turn.now
-        self.requests_per_s = rate
+        self.requests_per_s = requests_per_s
 
     def status(self) -> ServerStatus:
-        """How it stood when it was last looked at."""
-        work = (self.completed_per_s, self.busy_share, self.started_at, self.held_load)
-        return ServerStatus(self.number, self.state, self.zone, self.weight, *work)
+        """The status at the last evaluation."""
+        load = (self.completed_per_s, self.busy_share, self.started_at, self.held_load)
+        return ServerStatus(self.number, self.state, self.zone, self.weight, *load)
 
-    def set_health(self, health: str, why: str) -> None:
-        """It is well, silent or failing from now on."""
+    def set_health(self, health: str, reason: str) -> None:
+        """Sets its health: healthy, unresponsive or failing."""
         if health != self.health:
-            self.turn.log(f"backend {self.number} {self.health}->{health}: {why}")
+            self.turn.log(f"backend {self.number} {self.health}->{health}: {reason}")
             self.health, self.health_since, self.failed_probes = health, self.turn.now, 0
             self.last_success_at = self.turn.now
--- a/lapispass/core/slice_policy.py
+++ b/lapispass/core/slice_policy.py
@@ -1,4 +1,4 @@
-"""What the parts that decide on slices have in common."""
+"""The base of the components that decide on slices."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SlicePolicy(Generic[RulesType, AnyServer]):
-    """A part that sees the turn, the figures derived at the start, all servers and all slices."""
+    """A component with access to the turn, the rules, all servers and all slices."""
 
     def __init__(
         self,
@@ -28,4 +28,4 @@
         self.init_state()
 
     def init_state(self) -> None:
-        """Sets what the part keeps."""
+        """Initializes the component's own state."""
--- a/lapispass/core/slices.py
+++ b/lapispass/core/slices.py
@@ -1,4 +1,4 @@
-"""The slices in a controller's charge: how far the handover of each is, and which of them a server owns."""
+"""The slices that are granted to a controller: their owners, their handovers and their request rates."""
 
 from __future__ import annotations
 
@@ -11,74 +11,76 @@
 from lapispass.core.units import NEVER
 from lapispass.interface import BackendId
 
-LEAST_RATE = 0.2  # visits a second: a little above nothing for a slice of which nothing was heard
+LEAST_RATE = 0.2  # requests a second: a slice without reports counts a little more than nothing
 
 
 @dataclass(slots=True)
 class Slice:
-    """A slice in this controller's charge and how far its handover is. Times in microseconds."""
+    """A slice of this controller, and the state of its handover. Times are in microseconds."""
 
     number: int
-    serial: int  # in the order in which slices were given
-    frozen_until: int
-    unserved_since: int  # proxies have, or last had, no line to pick
+    serial: int  # its position in the order in which slices were granted
+    frozen_until: int  # no handover starts before
+    unserved_since: int  # since when, or when last, proxies had no backend to pick
     owner: BackendId | None = None
-    step: str = "emptied"  # emptied, closing, steady
+    step: str = "emptied"  # emptied, closing or steady; see `policy/handovers.py`
     step_started_at: int = 0
-    barrier: int = NEVER  # of the step's message
-    writes_stopped_at: int | None = (
-        None  # when every proxy had taken the step that ended an earlier owner's writes
-    )
-    writes_blocked: bool = False  # its writes are not let in
-    has_new_reports: bool = False  # since its rates were read
-    next_reading_at: int = NEVER  # when its rates are read again without a report
+    barrier: int = NEVER  # the barrier of the step's message
+    # When every proxy had applied the step that ended the writes to an earlier owner.
+    writes_stopped_at: int | None = None
+    writes_blocked: bool = False  # its writes are not admitted
+    has_new_reports: bool = False  # since its rates were last read
+    next_reading_at: int = NEVER  # when its rates are next read if no report arrives
     demand: dict[str, DecayingSum] = field(default_factory=dict)
-    rates: dict[str, float] = field(default_factory=dict)  # visits a second by class, as last read
-    rate: float = LEAST_RATE
-    levels: dict[int, float] = field(default_factory=dict)
+    rates: dict[str, float] = field(default_factory=dict)  # requests a second by class, as last read
+    rate: float = LEAST_RATE  # over all classes
+    levels: dict[int, float] = field(default_factory=dict)  # the admitted share by class index, if ordered
 
     @property
     def moving(self) -> bool:
-        """Whether a step of its handover is still to come."""
+        """Whether a handover is in progress."""
         return self.step != "steady" or self.writes_blocked
 
     def may_leave(self, now: int) -> bool:
-        """Whether its last handover, or its taking over, is over."""
+        """Whether a handover may start: none is in progress, and the slice was not granted too recently."""
         return self.step == "steady" and now >= self.frozen_until
 
     def read_rates(self, now: int) -> None:
-        """Reads the visits a second by class as they are now."""
+        """Reads the current requests a second by class."""
         self.rates = {name: demand.per_second(now) for name, demand in self.demand.items()}
         self.rate = LEAST_RATE + sum(self.rates.values())
         self.has_new_reports = False
 
 
 class Level(NamedTuple):
-    """A share of a class that should be let in."""
+    """A change of the share of a class that is admitted."""
 
-    gain: float  # visits a second
+    gain: float  # the effect of the change, in requests a second
     urgent: bool
     slice_: Slice
-    class_index: int  # of the class
+    class_index: int
     share: float
 
 
 class SliceIndex:
-    """The slices by number, by owner, and those whose handover is under way."""
+    """The slices by number and by owner, and those whose handover is in progress."""
 
     def __init__(self) -> None:
         self.slices: dict[int, Slice] = {}
         self.by_owner: dict[BackendId, dict[int, Slice]] = {}
         self.changed_owners: dict[BackendId, None] = {}  # owners whose slices or rates have changed
-        self.next_relief_at: dict[BackendId, int] = {}  # owners whose relief is not looked for before
-        self.admission_pending: set[BackendId] = set()  # owners whose shares may have to change
-        self.agenda: Agenda[int] = Agenda()  # when slices are looked at without news
-        self.updated: set[int] = set()  # slices with news
+        self.next_relief_at: dict[BackendId, int] = {}  # when owners may be relieved again
+        self.admission_pending: set[BackendId] = set()  # owners whose admission levels may have to change
+        self.agenda: Agenda[int] = Agenda()  # when slices are due without an event
+        self.updated: set[int] = set()  # slices with new events
         self._moving: dict[int, Slice] = {}
         self._serial = 0
 
     def add(self, number: int, frozen_until: int, unserved_since: int, now: int) -> Slice:
-        """A slice without an owner, since when that may be; one of that number is replaced."""
+        """Adds a slice without an owner; replaces the one with this number.
+
+        `unserved_since`: since when it may have had no owner.
+        """
         self.remove(number)
         self._serial += 1
         self.slices[number] = slice_ = Slice(
@@ -95,11 +97,11 @@
             self.agenda.forget(number)
 
     def assign(self, slice_: Slice, owner: BackendId | None) -> None:
-        """Gives a slice to another owner, or to none."""
+        """Assigns a slice to another owner, or to none."""
         if slice_.owner is not None:
-            mine = self.by_owner[slice_.owner]
-            del mine[slice_.number]
-            if not mine:
+            siblings = self.by_owner[slice_.owner]
+            del siblings[slice_.number]
+            if not siblings:
                 del self.by_owner[slice_.owner]
             self.changed_owners[slice_.owner] = None
         slice_.owner = owner
@@ -108,7 +110,7 @@
             self.changed_owners[owner] = None
 
     def set_stored_owner(self, number: int, owner: BackendId) -> None:
-        """The store has an owner for a slice just given."""
+        """Sets the owner that the store holds for a slice that was just granted."""
         if slice_ := self.slices.get(number):
             self.assign(slice_, owner)
             slice_.step = "steady"
@@ -116,7 +118,7 @@
             self.updated.add(number)
 
     def add_report(self, report: interface.RequestReport, half_life_us: int, now: int) -> None:
-        """Visits came for a slice."""
+        """Adds a report of requests for a slice."""
         if slice_ := self.slices.get(report.target):
             demand = slice_.demand.setdefault(report.request_class, DecayingSum(half_life_us))
             demand.add(now, report.requests)
@@ -124,14 +126,14 @@
             self.updated.add(report.target)
 
     def read_rates(self, now: int, interval_us: int, negligible: float) -> bool:
-        """Reads the rates of slices with reports, and of others each `every_us` until nothing is left.
+        """Reads the rates of slices with new reports, and of others every `interval_us` until negligible.
 
-        Returns whether any slice had news or was due.
+        Returns whether any slice had new events or was due.
         """
         self.updated.update(self.agenda.due(now))
         updated = [self.slices[number] for number in self.updated if number in self.slices]
         self.updated.clear()
-        for slice_ in sorted(updated, key=lambda one: one.serial):
+        for slice_ in sorted(updated, key=lambda slice_: slice_.serial):
             if slice_.has_new_reports or now >= slice_.next_reading_at:
                 slice_.read_rates(now)
                 slice_.next_reading_at = now + interval_us
@@ -144,27 +146,27 @@
         return bool(updated)
 
     def next_due(self, now: int) -> int:
-        """When a slice has to be looked at."""
+        """When the next slice is due."""
         return now if self.updated or self.changed_owners else self.agenda.next()
 
     def step_changed(self, slice_: Slice) -> None:
-        """A slice's step, or whether its writes are shut, has changed."""
+        """Notes that a slice's step, or whether its writes are blocked, has changed."""
         if slice_.moving:
             self._moving[slice_.number] = slice_
         else:
             self._moving.pop(slice_.number, None)
 
     def forget_server(self, number: BackendId) -> None:
-        """A server that owns no slice is no longer known."""
+        """Forgets a server that owns no slice."""
         self.next_relief_at.pop(number, None)
         self.admission_pending.discard(number)
 
     def moving(self) -> list[Slice]:
-        """Those whose handover is under way, in the order in which they were given."""
+        """Slices whose handover is in progress, in the order in which they were granted."""
         return sorted(self._moving.values(), key=lambda slice_: slice_.serial)
 
     def rate(self, owner: BackendId) -> float:
-        """Visits a second that an owner's slices bring."""
+        """The requests a second that an owner's slices bring."""
         return sum(slice_.rate for slice_ in self.by_owner.get(owner, {}).values())
 
     def take_changed(self) -> list[BackendId]:
--- a/lapispass/core/table.py
+++ b/lapispass/core/table.py
@@ -1,6 +1,6 @@
-"""What a controller tells the part that decides on tables.
+"""The interface between a controller and the component that decides on tables.
 
-Where there are no slices most of it means nothing.
+Most of its methods do nothing in a deployment without slices.
 """
 
 from __future__ import annotations
@@ -14,51 +14,54 @@
 
 
 class Table:
-    """News are noted here and acted on in `evaluate`."""
+    """Takes in events; `evaluate` acts on them."""
 
     def __init__(self) -> None:
         self.changed, self.due_at = False, NEVER
 
-    def slice_granted(self, number: int, ours: bool) -> None:
-        """The store puts a slice in this controller's charge, or takes it out."""
+    def slice_granted(self, number: int, granted: bool) -> None:
+        """The store has granted a slice to this controller, or has taken it away."""
 
     def owner_stored(self, number: int, backend: interface.BackendId) -> None:
-        """The owner that the store has for a slice just given."""
+        """The store has reported the owner of a slice that was just granted."""
 
     def requests_reported(self, report: interface.RequestReport) -> None:
-        """Visits that came for a slice."""
+        """Requests for a slice were reported."""
 
     def proxy_joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
-        """A proxy's stream stands."""
+        """A proxy's stream is established."""
         self.changed = True
 
     def proxy_left(self, proxy: int) -> None:
         """A proxy's stream has ended."""
 
     def server_evaluated(self, server: ServerState) -> None:
-        """A server was looked at: its health or its place in the list may have changed."""
+        """A server was evaluated: its health or its registry entry may have changed."""
         self.changed = True
 
     def forget_server(self, number: interface.BackendId) -> bool:
-        """A server is gone for good; False while something has still to be said of it."""
+        """Forgets a server that is gone for good; False while orders about it are still due."""
         raise NotImplementedError
 
     def read_rates(self) -> None:
-        """Before servers are looked at: tells them what their slices bring."""
+        """Updates the request rates of servers, before these are evaluated."""
 
     def next_evaluation(self, now: int, joined: int) -> int:
-        """When it has to be looked at without news; nothing can be said while no proxy has joined."""
+        """When the next evaluation is due without an event. Changes have to wait until a proxy has joined."""
         return now if self.changed and joined else self.due_at
 
-    def evaluate(self, now: int, every_us: int, ask: Callable[[], SendBudget | None]) -> None:
-        """Where something has changed or is due, acts as soon as the channel offers a turn."""
+    def evaluate(self, now: int, interval_us: int, get_budget: Callable[[], SendBudget | None]) -> None:
+        """Acts on changes and on what is due, as soon as the channel has room.
+
+        `get_budget` returns None while the channel has none.
+        """
         if not (self.changed or now >= self.due_at):
             return
-        budget = ask()
-        self.changed, self.due_at = budget is None, now + every_us
+        budget = get_budget()
+        self.changed, self.due_at = budget is None, now + interval_us
         if budget is not None:
-            self.due_at = max(now + every_us, self.act(budget))
+            self.due_at = max(now + interval_us, self.act(budget))
 
     def act(self, budget: SendBudget) -> int:
-        """Orders what follows from the news; returns when something is due next."""
+        """Issues the orders that are due; returns when the next ones are."""
         raise NotImplementedError
--- a/lapispass/policy/channel.py
+++ b/lapispass/policy/channel.py
@@ -1,4 +1,4 @@
-"""The pace of the channel to the proxies: how much may be written now."""
+"""Limits what is sent to the proxies to what the channel carries."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Channel(ChannelState):
-    """How much may be written to the proxies, and when."""
+    """Decides how much may be sent to the proxies, and when."""
 
     def __init__(self, turn: Turn, rules: Rules, proxies: int) -> None:
-        known = Proxies(range(proxies), turn.now, rules.retention_us, rules.lease_us)
+        proxy_states = Proxies(range(proxies), turn.now, rules.retention_us, rules.lease_us)
         slowest = DecayingSum(8 * SECOND_US, float(SECOND_US), turn.now)
-        super().__init__(turn, known, rules.lines_per_us, slowest)
+        super().__init__(turn, proxy_states, rules.lines_per_us, slowest)
         self.rules, self.head_lines, self.first = (
             rules,
             rules.message_overhead_lines,
@@ -25,24 +25,25 @@
         )
 
     def messages_left(self) -> int:
-        """How many messages the span allows still; one is always kept."""
+        """How many more messages the window allows; one is always kept in reserve."""
         while self.written and self.written[0] <= self.turn.now - self.rules.message_window_us:
             self.written.popleft()
         return self.rules.max_messages - 1 - len(self.written)
 
     def next_message_at(self, left: int) -> int:
-        """When the next message may be written."""
+        """When the next message may be sent."""
         rules, last = self.rules, self.written[-1] if self.written else -NEVER
-        # Guards large fleets: in a stream of small messages the heads alone would fill the channel.
+        # In a large fleet the overhead of many small messages alone would fill the channel.
         gap = max(rules.message_gap_us, self.joined * rules.message_gap_per_proxy_us)
-        # Guards the next withdrawal where messages are limited: the last half of them is spread over what
-        # is left of their span, or a busy stretch would be followed by seconds without any.
+        # Where the number of messages is limited, the last half of them is spread over the rest of the
+        # window. Otherwise a busy period would be followed by seconds without any message, and the next
+        # withdrawal would have to wait.
         if 2 * left < rules.max_messages and self.written:
             gap = max(gap, (self.written[0] + rules.message_window_us - self.turn.now) // max(1, left))
         return last + gap
 
     def send_budget(self) -> SendBudget | None:
-        """What may be written now."""
+        """What may be sent now; None: nothing."""
         now, rules, joined, left = self.turn.now, self.rules, self.joined, self.messages_left()
         if min(left, joined) <= 0 or now < self.next_message_at(left):
             return None
@@ -52,7 +53,9 @@
         if lines <= 0:
             return None
         settle_us = min(int(self.slowest.read(now)), rules.lease_us * 9 // 10)
-        idle = (lines + 1) // 2 if backlog < rules.queue_limit_lines / 8 else 0  # where the queue is tight
-        ordinary = max(idle, lines - int(rules.queue_limit_lines / 4 / joined))
-        may = left > rules.max_messages // 3
-        return SendBudget(lines, may * ordinary, self.mark + 1, settle_us, self.unmarked)
+        # Where the queue is small for this many proxies, orders that can wait are sent while it is almost
+        # empty.
+        idle_lines = (lines + 1) // 2 if backlog < rules.queue_limit_lines / 8 else 0
+        deferrable_lines = max(idle_lines, lines - int(rules.queue_limit_lines / 4 / joined))
+        enough_messages = left > rules.max_messages // 3
+        return SendBudget(lines, enough_messages * deferrable_lines, self.mark + 1, settle_us, self.unmarked)
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -1,4 +1,12 @@
-"""The slices and their handovers: empty step, gate, settle wait, new owner, closing."""
+"""The handovers of slices from one owner to the next.
+
+The steps of a handover:
+
+1. "emptied": the slice's table is cleared. Once every proxy has applied that, none sends writes to the old
+   owner any more. Then the linger time and the settle wait must pass.
+2. "closing": the new owner is published. Its writes stay blocked if the old owner may still hold one.
+3. "steady": every proxy has applied the new owner.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +26,12 @@
 
 
 class Handovers(SliceTable[Backend]):
-    """All slices in this controller's charge. It looks at what has news or is due, and no further."""
+    """The slices of this controller; handles only those that have new events or are due."""
 
     def __init__(self, turn: Turn, rules: Rules, fleet: FleetIndex[Backend], channel: Channel) -> None:
-        # Nothing tells how long a table that was given empty has been so: an earlier life of this controller,
-        # or another one, may have used a part of rule 1's time.
+        # It is unknown how long a table that was empty when the slice was granted has been empty. An earlier
+        # incarnation of this controller, or another one, may have used up a part of the time that rule 1
+        # allows.
         times = Times(
             rules.lease_us, rules.unserved_limit_us // 4, rules.update_interval_us, rules.demand_half_life_us
         )
@@ -32,19 +41,19 @@
         self.placement, self.admission = Placement(*common), Admission(*common)
         self.withdrawals = Withdrawals(*common)
         self.budget = SendBudget(0, 0, 0, rules.lease_us, False)
-        self.turns_without_room = 0  # slices were left for a later turn
+        self.turns_without_room = 0  # turns that left slices for a later turn
 
     def act(self, budget: SendBudget) -> int:
-        """One message to the proxies, where there is something to say; returns when something is due next."""
+        """Sends the proxies one message if any orders are due; returns when the next ones are due."""
         self.budget = budget
-        left_over = self.compose()
-        self.turns_without_room += left_over
-        return self.next_due(left_over)
+        has_more = self.compose()
+        self.turns_without_room += has_more
+        return self.next_due(has_more)
 
-    def next_due(self, left_over: bool) -> int:
-        """When the next step is due; one that waits for answers or for room is looked for all the time."""
+    def next_due(self, has_more: bool) -> int:
+        """When the next step is due; now, if one waits for acknowledgements or for room in a message."""
         if (
-            left_over
+            has_more
             or self.slice_index.moving()
             or self.admission.urgent_pending
             or not self.budget.deferrable_lines
@@ -54,45 +63,47 @@
         return min(level_at, self.withdrawals.next_due(), self.placement.next_relief())
 
     def compose(self) -> bool:
-        """One turn: servers to shut out, steps that are due, slices to open, shares to let in.
+        """Composes one message: withdrawals, handover steps that are due, admission and tables to empty.
 
-        Returns whether slices to be opened were left for a later turn.
+        Returns whether slices whose tables are to be emptied were left for a later turn.
         """
-        # Guards the queue: each line waits once for every proxy; what does not fit is left for a later turn.
+        # Each order is queued once for every proxy. Orders that do not fit into the queue of the channel are
+        # left for a later turn.
         self.placement.refresh()
         now, budget = self.turn.now, self.budget
         orders = self.withdrawals.orders(budget)
         moving = self.slice_index.moving()
-        given = [slice_ for slice_ in moving if slice_.barrier == NEVER]
-        room, spare = budget.lines - len(orders), budget.deferrable_lines - len(orders)
+        granted_empty = [slice_ for slice_ in moving if slice_.barrier == NEVER]
+        room, deferrable_room = budget.lines - len(orders), budget.deferrable_lines - len(orders)
         cleared = self.channel.proxies.cleared(now) if moving else NEVER
         for slice_ in moving:
-            slice_.barrier = min(slice_.barrier, budget.barrier)  # none yet: given with an empty table
+            slice_.barrier = min(slice_.barrier, budget.barrier)  # has none if granted with an empty table
             if room > 0 and (step := self.advance(slice_, cleared)):
-                orders += step  # a cold owner's levels go with it, so their room is kept
-                cold = slice_.owner is not None and not self.fleet.servers[slice_.owner].warm
-                room -= len(step) + cold * len(self.rules.classes_by_value)
+                orders += step  # a cold owner's levels follow in this message, so room is reserved for them
+                cold_owner = slice_.owner is not None and not self.fleet.servers[slice_.owner].warm
+                room -= len(step) + cold_owner * len(self.rules.classes_by_value)
         emptying = self.to_empty()
-        kept = min(len(emptying), max(0, room) // 2)  # for what opens, or a slice may stay bare
-        # Guards the channel and its price: reports come one after the other, and a turn for each would be
-        # mostly heads.
-        due = bool(orders or emptying) or now >= self.admission.next_update_at
-        ordinary = min(spare, room - len(emptying)) if due else 0
-        orders += self.admission.orders(budget, budget.lines - len(orders) - kept, ordinary)
+        # Room is reserved for emptying tables: otherwise a slice could stay unserved.
+        reserved = min(len(emptying), max(0, room) // 2)
+        # Admission updates are collected: reports arrive one after the other, and a message for each would
+        # consist mostly of overhead.
+        update_due = bool(orders or emptying) or now >= self.admission.next_update_at
+        routine_room = min(deferrable_room, room - len(emptying)) if update_due else 0
+        orders += self.admission.orders(budget, budget.lines - len(orders) - reserved, routine_room)
         fitting = emptying[: max(0, budget.lines - len(orders))]
         orders += [self.empty(slice_) for slice_ in fitting]
-        joiners = (
+        barrier_needed = (
             budget.joined_since_barrier
             and budget.deferrable_lines
             and any(s.step != "steady" for s in moving)
         )
-        if orders or given or joiners:
+        if orders or granted_empty or barrier_needed:
             self.channel.publish(orders)
         return len(fitting) < len(emptying)
 
     def empty(self, slice_: Slice) -> interface.Order:
-        """The first step of a handover."""
-        if not slice_.writes_blocked:  # where writes were never let in, an earlier owner's are still the last
+        """Starts a handover: clears the slice's table."""
+        if not slice_.writes_blocked:  # otherwise the last writes are still those of an earlier owner
             slice_.writes_stopped_at = None
         slice_.unserved_since = self.unserved_since(slice_)
         self.slice_index.assign(slice_, None)
@@ -102,47 +113,53 @@
         return interface.ClearTable(slice_.number)
 
     def to_empty(self) -> list[Slice]:
-        """Which slices leave their owner now: all of those that drain, died or fell ill come first."""
-        now, owned = self.turn.now, self.slice_index.by_owner
-        closed = [owner for owner in owned if not self.placement.is_open(owner)]
-        urgent = [s for owner in closed for s in owned[owner].values() if self.may_leave(s)]
-        # Guards a small slice of an owner long shut out: larger ones of later owners do not pass it by.
+        """The slices that leave their owner now, first all of owners that drain, are gone or are ill."""
+        now, by_owner = self.turn.now, self.slice_index.by_owner
+        closed = [owner for owner in by_owner if not self.placement.is_open(owner)]
+        urgent = [s for owner in closed for s in by_owner[owner].values() if self.may_leave(s)]
+        # The slices of the owner that was withdrawn first come first. Otherwise larger slices of owners
+        # withdrawn later would overtake a small one, which would stay unserved for too long.
         out = self.shut_out.out
         urgent.sort(key=lambda s: (out.get(s.owner, now) if s.owner is not None else now, -s.rate, s.serial))
         if not self.placement.any_open():
             return []
         if urgent or not self.budget.deferrable_lines:
             return urgent
-        others = self.placement.slices_to_relieve()
-        del others[max(1, len(others) // 2) :]
-        for slice_ in others:
+        relieved = self.placement.slices_to_relieve()
+        del relieved[max(1, len(relieved) // 2) :]
+        for slice_ in relieved:
             if slice_.owner is not None:
                 self.slice_index.next_relief_at[slice_.owner] = now + self.rules.feedback_delay_us
-        return others
+        return relieved
 
     def may_leave(self, slice_: Slice) -> bool:
-        """Whether a slice may be on its way to another owner, for rule 1 even in a handover's last step."""
+        """Whether a slice may be handed over now.
+
+        For rule 1 that is allowed even in the last step of a handover.
+        """
         if slice_.may_leave(self.turn.now):
             return True
-        # Nothing is lost by it: a proxy answers in order, so the mark of the next empty step stands for this
-        # step's, too.
+        # That is safe: a proxy acknowledges barriers in order, so the barrier of the next "emptied" step
+        # covers this step's, too.
         unserved_us = self.turn.now - self.unserved_since(slice_)
         return slice_.step == "closing" and unserved_us > self.rules.unserved_limit_us // 4
 
     def unserved_since(self, slice_: Slice) -> int:
-        """Since when proxies may have had no line to pick: the owner is shut out, or there is none."""
+        """Since when the slice may have been unserved: its owner is withdrawn, or it has none."""
         if slice_.owner is None:
             return slice_.unserved_since
         shut_out_at = self.shut_out.out.get(slice_.owner, self.turn.now)
-        # Until all have answered, a proxy may get the new owner and its withdrawal in one moment.
+        # Until all proxies have acknowledged the new owner, one may receive it together with its withdrawal:
+        # that proxy has been without a backend all the time.
         is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.out
         return slice_.unserved_since if is_unknown else max(slice_.unserved_since, shut_out_at)
 
     def is_urgent(self, slice_: Slice) -> bool:
-        """Whether the new owner is published with writes shut, for rule 1.
+        """Whether rule 1 requires that the new owner is published at once, with its writes blocked.
 
-        That needs no gate, for only reads can go there. Half of the time without a line must be gone, and a
-        quarter since the empty step, in which those that can answer it have done so.
+        That need not wait for the proxies' acknowledgements, because only reads can be sent there. Half of
+        the time that the slice may be unserved must have passed, and a quarter since the "emptied" step: the
+        proxies that can acknowledge it have done so by then.
         """
         now, unserved_limit_us = self.turn.now, self.rules.unserved_limit_us
         is_overdue = (
@@ -152,34 +169,39 @@
         return self.rules.can_block_writes and is_overdue
 
     def advance(self, slice_: Slice, cleared: int) -> list[interface.Order]:
-        """The next step of a handover, when it is due."""
+        """The orders of the next step of a handover, if it is due.
+
+        Proxies have applied the orders up to the barrier `cleared`, or can no longer write by older tables.
+        """
         now, rules = self.turn.now, self.rules
         answered = cleared >= slice_.barrier
         if answered and slice_.writes_stopped_at is None:
             slice_.writes_stopped_at = now
-        clean = slice_.writes_stopped_at is not None and now >= slice_.writes_stopped_at + rules.linger_us
+        writes_ended = (
+            slice_.writes_stopped_at is not None and now >= slice_.writes_stopped_at + rules.linger_us
+        )
         if slice_.step != "emptied":
             if answered:
-                slice_.step, slice_.writes_blocked = "steady", slice_.writes_blocked and not clean
+                slice_.step, slice_.writes_blocked = "steady", slice_.writes_blocked and not writes_ended
                 slice_.step_started_at = now
                 self.slice_index.step_changed(slice_)
                 self.slice_index.admission_pending.update([] if slice_.owner is None else [slice_.owner])
             return []
-        # The exception for rule 2: the owner waits until no earlier one can hold a write, which may last
-        # longer than the settle time. Writes shut meanwhile would not do: the store resets levels.
+        # For rule 2 the new owner waits until no earlier owner can hold a write, which may take longer than
+        # the settle wait. To block its writes meanwhile would not be enough: the store resets levels.
         settled = (
             answered
             and slice_.writes_stopped_at is not None
             and now >= slice_.writes_stopped_at + self.budget.settle_us
         )
-        may = (settled and clean) or self.is_urgent(slice_)
-        if now < slice_.frozen_until or not may or (owner := self.placement.choose_owner(slice_)) is None:
+        allowed = (settled and writes_ended) or self.is_urgent(slice_)
+        if now < slice_.frozen_until or not allowed or (owner := self.placement.choose_owner(slice_)) is None:
             return []
         self.placement.assign(slice_, owner)
         self.slice_index.admission_pending.add(owner)
-        slice_.step, slice_.barrier, slice_.writes_blocked = "closing", self.budget.barrier, not clean
+        slice_.step, slice_.barrier, slice_.writes_blocked = "closing", self.budget.barrier, not writes_ended
         slice_.step_started_at = now
         self.slice_index.step_changed(slice_)
-        slice_.levels = {} if clean else dict.fromkeys(rules.write_classes, 0.0)
-        shut = [self.admission.order(slice_, place, 0.0) for place in slice_.levels]
+        slice_.levels = {} if writes_ended else dict.fromkeys(rules.write_classes, 0.0)
+        shut = [self.admission.order(slice_, class_index, 0.0) for class_index in slice_.levels]
         return [interface.SetTableEntry(slice_.number, owner, 1.0), *shut]
--- a/lapispass/policy/placement.py
+++ b/lapispass/policy/placement.py
@@ -1,4 +1,4 @@
-"""Which server gets a slice: who is open to slices, what each carries and what it is able to."""
+"""Chooses the owners of slices by the health, the load and the capacity of the servers."""
 
 from __future__ import annotations
 
@@ -14,31 +14,38 @@
 
 
 class Placement(SlicePolicy[Rules, Backend]):
-    """Choices among all servers. Sums over all of them are made only where an owner is chosen."""
+    """Chooses among all servers. It sums over all of them only when an owner has to be chosen."""
 
     def init_state(self) -> None:
         self.refresh()
 
     def refresh(self) -> None:
-        """What holds for this turn: zones where most are ill, the usual speed, the owners' loads."""
-        # Guards against blaming servers for what strikes all, or most of a zone; the rest could not carry it.
-        # Only those count of which enough is heard: each controller hears of few visits at most servers.
-        ill, fine = Counter(self.fleet.ill.values()), Counter(self.fleet.succeeding.values())
-        most = 3 * ill.total() > ill.total() + fine.total()
+        """Computes this turn's figures: zones where most servers are ill, mean capacity, owners' loads."""
+        # A fault that affects all servers, or most of a zone, is not their own. Their slices stay, because
+        # the remaining servers could not carry the load. Only servers with enough reports count: a controller
+        # receives reports about few requests at most servers.
+        ill_by_zone, healthy_by_zone = (
+            Counter(self.fleet.ill.values()),
+            Counter(self.fleet.succeeding.values()),
+        )
+        mostly_ill = 3 * ill_by_zone.total() > ill_by_zone.total() + healthy_by_zone.total()
         self.zones_mostly_ill = {
-            zone for zone in ill if most or ill[zone] > max(1, (ill[zone] + fine[zone]) // 2)
+            zone
+            for zone in ill_by_zone
+            if mostly_ill or ill_by_zone[zone] > max(1, (ill_by_zone[zone] + healthy_by_zone[zone]) // 2)
         }
-        # With other controllers a server's speed is known in part only: own visits against all that keep it
-        # busy. Then the fleet's speed counts, and what a server does for others comes on top of its load.
+        # Where other controllers have slices too, a server's capacity cannot be measured exactly: this
+        # controller's requests are only a part of those that keep it busy. Then the fleet's mean capacity is
+        # used, and what the server does for other controllers is added to its load.
         self.slice_share = max(1, len(self.slice_index.slices)) / self.rules.slice_count
-        speeds = self.fleet.capacities_per_weight.values() or [self.slice_share]
-        self.mean_capacity_per_weight = sum(speeds) / len(speeds) / self.slice_share
+        capacities = self.fleet.capacities_per_weight.values() or [self.slice_share]
+        self.mean_capacity_per_weight = sum(capacities) / len(capacities) / self.slice_share
         self.loads = {owner: self.slice_index.rate(owner) for owner in self.slice_index.by_owner}
         self.candidates: list[BackendId] | None = None
         self.baselines: dict[BackendId, tuple[float, float]] = {}
 
     def is_open(self, number: BackendId) -> bool:
-        """Whether a server may own slices: listed, and not ill where the others are well."""
+        """Whether a server may own slices: it runs, and is not ill while others in its zone are healthy."""
         server = self.fleet.servers.get(number)
         if server is None or server.state not in RUNNING_STATES:
             return False
@@ -49,78 +56,83 @@
         return self.fleet.states["ready"] + self.fleet.states["unproven"] > 0 or bool(self.zones_mostly_ill)
 
     def capacity(self, server: Backend) -> float:
-        """The visits a second that a server can do now."""
-        speed = (self.slice_share == 1 and server.capacity_per_weight) or self.mean_capacity_per_weight
-        return server.weight * max(1e-3, server.warmth()) * speed
+        """The requests a second that a server can complete now."""
+        capacity_per_weight = (
+            self.slice_share == 1 and server.capacity_per_weight
+        ) or self.mean_capacity_per_weight
+        return server.weight * max(1e-3, server.warmth()) * capacity_per_weight
 
     def other_load(self, server: Backend, capacity: float) -> float:
-        """What a server that is able to so much does beside the slices here, in visits a second."""
-        # Held connections are such work; where busy shares tell of all that is not ours, they are part of it.
+        """The load of a server from outside this controller's slices, in requests a second."""
+        # Held connections are such a load. Where the busy share shows all load, it includes them.
         return max(
             server.held_load, (self.slice_share < 1) * (server.busy_share * capacity - server.completed_per_s)
         )
 
     def baseline(self, number: BackendId) -> tuple[float, float]:
-        """What a server does beside the slices here, and the work by which its load is measured."""
+        """A server's load from outside this controller's slices, and the capacity to compare it with."""
         server = self.fleet.servers[number]
         capacity = self.capacity(server)
-        # Guards a server just started: until reports can tell its load, it counts by the part let in there.
-        fresh = self.turn.now < server.started_at + self.rules.feedback_delay_us and server.warmth() < 1
+        # Until reports can show the load of a server that has just started, only the part of its capacity
+        # counts that is admitted there.
+        just_started = (
+            self.turn.now < server.started_at + self.rules.feedback_delay_us and server.warmth() < 1
+        )
         return self.other_load(server, capacity), (
-            self.rules.cold_capacity_factor if fresh else 1.0
+            self.rules.cold_capacity_factor if just_started else 1.0
         ) * capacity
 
     def load_with(self, number: BackendId, slice_: Slice) -> float:
-        """A server's load per weight with this slice."""
+        """A server's load with this slice added, relative to its capacity."""
         if (baselines := self.baselines.get(number)) is None:
             baselines = self.baselines[number] = self.baseline(number)
         return (self.loads.get(number, 0.0) + baselines[0] + slice_.rate) / baselines[1]
 
     def choose_owner(self, slice_: Slice) -> BackendId | None:
-        """The server with least load per listed weight, a cold one counted by what it surely can do."""
+        """The server with the least load relative to its capacity, which is smaller while it is cold."""
         if self.candidates is None:
             ready = [number for number, server in self.fleet.servers.items() if server.state == "ready"]
             self.candidates = ready or [number for number in self.fleet.servers if self.is_open(number)]
         return min(self.candidates, key=lambda number: self.load_with(number, slice_), default=None)
 
     def assign(self, slice_: Slice, owner: BackendId) -> None:
-        """A slice gets an owner in this turn."""
+        """Assigns a slice to an owner in this turn."""
         self.loads[owner] = self.loads.get(owner, 0.0) + slice_.rate
         self.slice_index.assign(slice_, owner)
 
     def excess(self, server: Backend) -> float:
-        """Visits a second that an owner does not let in, or beyond nine tenths of its work."""
+        """The requests a second that an owner does not admit, or that exceed nine tenths of its capacity."""
         load, capacity = self.loads.get(server.number, 0.0), self.capacity(server)
-        over = (
+        overload = (
             load + self.other_load(server, capacity) - 0.9 * capacity
             if server.capacity_per_weight
             else -NEVER
         )
-        return max(load * (1 - server.admitted_share), over)
+        return max(load * (1 - server.admitted_share), overload)
 
     def slices_to_relieve(self) -> list[Slice]:
-        """Slices whose owner lets in less than comes or is nearly all busy, where another has room."""
+        """Slices of owners that reject requests or are almost fully busy, if another server has room."""
         now, chosen = self.turn.now, []
-        several = [owner for owner, mine in self.slice_index.by_owner.items() if len(mine) > 1]
-        for server in self.fleet.in_order(filter(self.is_open, several)):
+        owners = [owner for owner, movable in self.slice_index.by_owner.items() if len(movable) > 1]
+        for server in self.fleet.in_order(filter(self.is_open, owners)):
             if (
                 now < self.slice_index.next_relief_at.get(server.number, 0)
                 or (excess := self.excess(server)) <= 0
             ):
                 continue
-            mine = [s for s in self.slice_index.by_owner[server.number].values() if s.may_leave(now)]
-            if len(mine) < 2:
+            movable = [s for s in self.slice_index.by_owner[server.number].values() if s.may_leave(now)]
+            if len(movable) < 2:
                 continue
-            mine.sort(key=lambda slice_: (slice_.rate, slice_.serial))
-            slice_ = next((s for s in mine if s.rate >= 0.7 * excess), mine[-1])
+            movable.sort(key=lambda slice_: (slice_.rate, slice_.serial))
+            slice_ = next((s for s in movable if s.rate >= 0.7 * excess), movable[-1])
             if self.has_room(server, slice_):
                 chosen.append(slice_)
-            else:  # reports tell of room elsewhere
+            else:  # later reports may show room elsewhere
                 self.slice_index.next_relief_at[server.number] = now + self.rules.update_interval_us
         return chosen
 
     def has_room(self, owner: Backend, slice_: Slice) -> bool:
-        """Whether another server would end up clearly below the owner's load with this slice."""
+        """Whether another server would stay clearly below the owner's load with this slice."""
         target = self.choose_owner(slice_)
         if target is None or target == owner.number:
             return False
@@ -132,7 +144,7 @@
         )
 
     def next_relief(self) -> int:
-        """When relief is looked for again, for an owner that could not be relieved."""
+        """When the next attempt is due for an owner that could not be relieved."""
         times = [
             at
             for owner, at in self.slice_index.next_relief_at.items()
--- a/lapispass/policy/weighted_tables.py
+++ b/lapispass/policy/weighted_tables.py
@@ -1,4 +1,4 @@
-"""The tables where there are no slices."""
+"""The tables of a deployment without slices."""
 
 from __future__ import annotations
 
@@ -16,33 +16,39 @@
 
 
 class WeightedTables(TableEntries[Backend]):
-    """Every server in one table a zone and one for all, by listed weight."""
+    """Puts every server into its zone's table and into the table of all zones, by its weight."""
 
     def __init__(self, turn: Turn, rules: Rules, fleet: FleetIndex[Backend], channel: Channel) -> None:
         super().__init__(turn, fleet, rules.zone_tables)
         self.rules, self.channel = rules, channel
 
     def act(self, budget: SendBudget) -> int:
-        """One message, where a server has changed or a proxy has joined; returns when more is due."""
+        """Sends one message if a server has changed or a proxy has joined; returns when more is due."""
         changes = list(self.changes())
         orders: list[interface.Order] = list(changes[: budget.lines])
         self.record(changes[: budget.lines])
         for proxy, zone in self.unbound_proxies.items():
-            near = self.rules.zone_tables.get(zone, 0)
-            binds = ((0, self.rules.any_zone_classes), (near, self.rules.same_zone_classes))
-            orders += [interface.BindProxy(proxy, table, classes) for table, classes in binds if classes]
+            zone_table = self.rules.zone_tables.get(zone, 0)
+            bindings = ((0, self.rules.any_zone_classes), (zone_table, self.rules.same_zone_classes))
+            orders += [interface.BindProxy(proxy, table, classes) for table, classes in bindings if classes]
         self.unbound_proxies.clear()
         if orders:
             self.channel.publish(orders)
         return self.turn.now if len(changes) > budget.lines else NEVER
 
     def changes(self) -> Iterator[interface.SetTableEntry]:
-        """Lines that differ from what stands: a server is in while ready and well, a cold one in part."""
+        """The table entries that must change.
+
+        A server has a weight while it runs; a cold one has a part of it. An ill server has none if its zone
+        has a healthy one.
+        """
         servers = list(self.fleet.servers.values())
-        well = {s.zone for s in servers if s.state in ("ready", "unproven") and s.warm}
+        zones_with_healthy = {s.zone for s in servers if s.state in ("ready", "unproven") and s.warm}
         for server in servers:
-            fit = server.state in RUNNING_STATES and not (server.state == "ill" and server.zone in well)
-            weight = server.weight * (0.25 * int(4 * server.warmth()) or 0.1) if fit else 0.0
+            usable = server.state in RUNNING_STATES and not (
+                server.state == "ill" and server.zone in zones_with_healthy
+            )
+            weight = server.weight * (0.25 * int(4 * server.warmth()) or 0.1) if usable else 0.0
             for table, number in self.keys(server):
                 if self.entries.get((table, number), 0.0) != weight:
                     yield interface.SetTableEntry(table, number, weight)
--- a/lapispass/policy/withdrawals.py
+++ b/lapispass/policy/withdrawals.py
@@ -1,4 +1,4 @@
-"""Which servers are shut out of all tables, and to whom that must be said again."""
+"""Which servers are withdrawn from all tables, and which orders must be repeated for proxies that join."""
 
 from __future__ import annotations
 
@@ -11,61 +11,68 @@
 
 
 class Withdrawals(SlicePolicy[Rules, Backend]):
-    """Guards the drain grace where a slice may not open yet; joiners are told again who is out or in."""
+    """Withdraws draining owners, and lets servers in again.
+
+    A withdrawal keeps the drain grace where a slice may not be handed over yet. Orders are repeated for
+    proxies that have joined since, as they may have missed them.
+    """
 
     def init_state(self) -> None:
         self.next_repeat_at, self.has_more = 0, False
 
     def to_repeat(self) -> list[Backend]:
-        """Owners that are in, of which joiners may have heard otherwise."""
+        """Owners that are not withdrawn, but which proxies that joined may still keep withdrawn."""
         out, again = self.shut_out.out, self.shut_out.again
         owners = self.fleet.in_order(self.slice_index.by_owner)
         return [server for server in owners if server.number not in out and again.has(server)]
 
     def orders(self, budget: SendBudget) -> list[interface.Order]:
-        """So many as fit into the turn; the rest comes first next time."""
-        now, noted = self.turn.now, self.shut_out
+        """As many orders as fit into the message; the others come first in the next one."""
+        now, shut_out = self.turn.now, self.shut_out
         self.postpone_repeats()
-        # Guards the channel: who is in was said again of all servers at once, every 2 s while proxies joined,
-        # and the next withdrawals waited behind that. It takes its time now, a part of what rule 1 allows.
-        if now >= self.next_repeat_at and not noted.repeats and (again := self.to_repeat()):
-            noted.repeat(again)
+        # Repeats are spread over time, over a part of what rule 1 allows. They were once sent for all servers
+        # together, every 2 s while proxies joined, and the next withdrawals had to wait behind them.
+        if now >= self.next_repeat_at and not shut_out.repeats and (again := self.to_repeat()):
+            shut_out.repeat(again)
             self.next_repeat_at = now + self.rules.unserved_limit_us // 8
-        held_out = [number for number in self.fleet.out if number in self.slice_index.by_owner]
+        withdrawn_owners = [number for number in self.fleet.out if number in self.slice_index.by_owner]
         orders: list[interface.Order] = []
         room, self.has_more = budget.deferrable_lines // 2, False
-        for server in self.fleet.in_order({*held_out, *noted.out, *noted.repeats}):
+        for server in self.fleet.in_order({*withdrawn_owners, *shut_out.out, *shut_out.repeats}):
             out, number = server.state == "out", server.number
             if not self.needs_order(server, room):
                 continue
-            # Guards the queue where most of a fleet drains at once; the rest comes first next time.
+            # If most of a fleet drains at once, the orders must not overfill the queue.
             if len(orders) >= budget.lines:
                 self.has_more = True
                 break
-            room -= not out and number not in noted.out
-            if noted.say(server, out, budget.barrier, now):
-                self.turn.updated_servers.add(number)  # it may be forgotten now
+            room -= not out and number not in shut_out.out
+            if shut_out.say(server, out, budget.barrier, now):
+                self.turn.updated_servers.add(number)  # it may be forgotten from now on
             orders.append(interface.SetWithdrawn(number, out))
-        noted.repeats -= noted.out.keys()
+        shut_out.repeats -= shut_out.out.keys()
         return orders
 
     def postpone_repeats(self) -> None:
-        """Guards the next repeats, which wait for these, against one that leaves and owns no slice."""
+        """Takes servers that leave and own no slice off the pending repeats.
+
+        The next repeats wait for the pending ones, and such a server would hold them up.
+        """
         for server in self.fleet.in_order(self.shut_out.repeats):
             if server.state == "out" and server.number not in self.slice_index.by_owner:
                 self.shut_out.postpone(server.number)
 
     def needs_order(self, server: Backend, room: int) -> bool:
-        """Whether it has to be said that a server is out, or in again."""
-        number, noted = server.number, self.shut_out
+        """Whether a withdrawal of this server, or its end, has to be ordered."""
+        number, shut_out = server.number, self.shut_out
         if server.state == "out":
             return number in self.slice_index.by_owner and (
-                number not in noted.out or noted.again.has(server)
+                number not in shut_out.out or shut_out.again.has(server)
             )
-        return number in noted.out or (number in noted.repeats and room > 0)
+        return number in shut_out.out or (number in shut_out.repeats and room > 0)
 
     def next_due(self) -> int:
-        """When there is more to say, without news."""
+        """When more orders are due without an event."""
         if self.has_more or self.shut_out.repeats:
             return self.turn.now
         return self.next_repeat_at if self.to_repeat() else NEVER
