--- a/tests/full_look.py
+++ b/tests/full_evaluation.py
@@ -1,4 +1,4 @@
-"""A controller that looks at everything in every turn: what a look at what is due is compared with."""
+"""A controller that evaluates everything in every turn: the reference for evaluating only what is due."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from lapispass.policy.handovers import Handovers
 
 
-class FullLook(Controller):
-    """Looks at every server and every slice in every turn, whether anything is due or not."""
+class FullEvaluation(Controller):
+    """Evaluates every server and every slice in every turn, whether they are due or not."""
 
     def turn(self, now: int, events: Sequence[interface.Event]) -> list[interface.Order]:
         self.current.updated_servers.update(self.backends)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -1,4 +1,4 @@
-"""A slice's way from one owner to the next, whatever comes between the steps."""
+"""Handovers of slices, whatever happens between the steps."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert all(table.writes for table in fleet.store.values())
 
 
-def test_a_silent_proxy_is_waited_for_until_its_lease_is_out() -> None:
+def test_an_unresponsive_proxy_is_waited_for_until_its_lease_ends() -> None:
     fleet = Fleet(deployment(), 4, seed=2, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "gone")
@@ -28,18 +28,19 @@
     assert None not in fleet.owners()
 
 
-def test_a_proxy_that_never_answers_does_not_bare_a_slice_for_ever() -> None:
+def test_a_proxy_that_never_acknowledges_does_not_leave_a_slice_unserved_for_ever() -> None:
     fleet = Fleet(deployment(), 4, seed=2, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "draining")
     fleet.run(20)
-    assert None not in fleet.owners()  # reads have an owner ...
-    assert not all(table.writes for table in fleet.store.values())  # ... writes wait for the answer
+    assert None not in fleet.owners()  # reads are served ...
+    # ... but writes wait for the acknowledgement.
+    assert not all(table.writes for table in fleet.store.values())
 
 
 def test_a_returned_server_is_let_in_again_though_proxies_joined_meanwhile() -> None:
     fleet = Fleet(deployment(), 3, seed=4)
-    fleet.change(101, "gone")  # within the lease after the start: shut out, not yet moved
+    fleet.change(101, "gone")  # within a lease after the start: withdrawn, but no handover yet
     fleet.run(0.6)
     fleet.leave(2)
     fleet.run(0.2)
@@ -58,13 +59,13 @@
     assert None in fleet.owners()
     fleet.run(5)
     fleet.start()
-    for number in range(3):  # one proxy never comes back
+    for number in range(3):  # one proxy never rejoins
         fleet.join(number)
     fleet.run(9)
     assert None not in fleet.owners()
 
 
-def test_a_table_given_empty_may_have_been_so_for_a_while() -> None:
+def test_a_table_granted_empty_may_have_been_empty_for_a_while() -> None:
     fleet = Fleet(deployment(), 4, seed=6, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "gone")
@@ -82,21 +83,21 @@
 def test_where_levels_have_no_effect_the_new_owner_waits_for_the_last_write() -> None:
     fleet = Fleet(deployment(admission_mode="none"), 4, seed=10, ran_s=3)
     fleet.change(102, "draining")
-    fleet.run(12)  # the model holds the single owner
+    fleet.run(12)  # the model checks that there is a single owner
     assert None not in fleet.owners() and all(table.writes for table in fleet.store.values())
 
 
-def test_a_server_that_is_back_before_the_list_tells_may_hold_writes() -> None:
+def test_a_server_that_is_back_before_the_registry_reports_it_may_hold_writes() -> None:
     fleet = Fleet(deployment(), 4, seed=11, ran_s=4)
-    # The list is late: the process is up again and takes writes.
+    # The registry is late: the process is up again and accepts writes.
     fleet.events.append(registry_changes(fleet.registry[102]._replace(state="gone")))
     fleet.run(3.2)
     fleet.events.append(registry_changes(fleet.registry[102]._replace(started_us=fleet.now - 5 * SECOND)))
-    fleet.run(12)  # the model holds the single owner
+    fleet.run(12)  # the model checks that there is a single owner
     assert all(table.writes for table in fleet.store.values())
 
 
-def test_a_new_owner_that_drains_while_its_writes_are_shut_is_left_in_time() -> None:
+def test_a_new_owner_that_drains_while_its_writes_are_blocked_is_left_in_time() -> None:
     fleet = Fleet(deployment(), 4, seed=8, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 9 * SECOND
     fleet.change(102, "draining")
@@ -104,36 +105,36 @@
         fleet.run(0.05)
     assert not all(table.writes for table in fleet.store.values())
     fleet.change(next(t.owner for t in fleet.store.values() if not t.writes), "draining")
-    fleet.run(15)  # the model holds the drain grace and the single owner
+    fleet.run(15)  # the model checks the drain grace and that there is a single owner
 
 
-def test_a_new_owner_that_drains_is_left_in_time_though_a_proxy_never_answers() -> None:
+def test_a_new_owner_that_drains_is_left_in_time_though_a_proxy_never_acknowledges() -> None:
     fleet = Fleet(deployment(), 4, seed=8, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "draining")
     while None in fleet.owners() or 102 in fleet.owners():
         fleet.run(0.05)
     fleet.change(next(t.owner for t in fleet.store.values() if not t.writes), "draining")
-    fleet.run(30)  # the model holds the drain grace, the single owner, and a line at each proxy
+    fleet.run(30)  # the model checks the drain grace, the single owner and the time unserved
     assert None not in fleet.owners()
 
 
-def test_the_time_without_a_line_begins_when_the_owner_is_shut_out() -> None:
+def test_the_unserved_time_begins_when_the_owner_is_withdrawn() -> None:
     fleet = Fleet(deployment(), 4, seed=8, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "draining")
     while None in fleet.owners() or 102 in fleet.owners():
         fleet.run(0.05)
     moved = next(table for table in fleet.store.values() if not table.writes)
-    owner, shut_out_at = moved.owner, fleet.now
+    owner, withdrawn_at = moved.owner, fleet.now
     fleet.change(owner, "draining")
     while moved.owner in (owner, None):
         fleet.run(0.05)
-    assert fleet.now - shut_out_at < fleet.deployment.unserved_limit_us // 2 + SECOND
+    assert fleet.now - withdrawn_at < fleet.deployment.unserved_limit_us // 2 + SECOND
 
 
-def test_an_empty_step_that_follows_a_last_step_stands_long_enough_to_be_answered() -> None:
-    # Guards against a new owner that is published at once, while those that can answer still write.
+def test_an_emptied_step_after_a_closing_step_lasts_long_enough_to_be_acknowledged() -> None:
+    # Guards against publishing a new owner at once, while proxies that can acknowledge still send writes.
     fleet = Fleet(deployment(), 4, seed=8, ran_s=3)
     fleet.proxies[1].stalled_until = fleet.now + 60 * SECOND
     fleet.change(102, "draining")
@@ -150,7 +151,7 @@
 
 
 def test_handovers_go_on_while_proxies_join_all_the_time() -> None:
-    # Guards against a step that waits for an instant in which no newcomer has still to answer (issue 48).
+    # Guards against a step that waits for an instant in which every new proxy has acknowledged (issue 48).
     fleet = Fleet(deployment(proxies=12, max_messages=1000), 6, seed=9, ran_s=3)
     for turn in range(300):
         number = turn % 12
@@ -167,7 +168,7 @@
     fleet = Fleet(deployment(), 4, seed=12, ran_s=3)
     moved = [number for number, table in fleet.store.items() if table.owner == 102]
     fleet.change(102, "draining")
-    while fleet.now < 112 * SECOND:  # whenever the store takes a slice away, its levels are reset
+    while fleet.now < 112 * SECOND:  # the store resets a slice's levels whenever it takes it away
         fleet.run(0.05)
         for number in moved:
             fleet.store[number].writes = True
@@ -176,36 +177,36 @@
     assert None not in fleet.owners()
 
 
-def test_a_drained_server_that_the_list_wrongly_calls_gone_has_not_ended() -> None:
+def test_a_drained_server_that_the_registry_wrongly_lists_as_gone_has_not_ended() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=15, ran_s=3)
     fleet.change(102, "draining")
     fleet.run(0.3)
     fleet.events.append(registry_changes(fleet.registry[102]._replace(state="gone")))
-    fleet.run(12)  # the model holds the single owner
+    fleet.run(12)  # the model checks that there is a single owner
     assert 102 not in fleet.owners() and None not in fleet.owners()
 
 
-def test_an_owner_that_a_fresh_controllers_list_leaves_out_keeps_its_slices_while_it_answers() -> None:
+def test_an_owner_missing_in_a_new_controllers_snapshot_keeps_its_slices_while_it_answers() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=19, ran_s=2)
-    true = fleet.registry.pop(101)
+    entry = fleet.registry.pop(101)
     fleet.crash()
     fleet.run(4)
     fleet.start()
     for number in range(4):
         fleet.join(number)
-    fleet.registry[101] = true._replace(state="gone")
+    fleet.registry[101] = entry._replace(state="gone")
     fleet.run(9)
     assert sum(table.owner == 101 for table in fleet.store.values()) == 3
 
 
-def test_small_slices_of_the_owner_longest_shut_out_open_before_larger_ones() -> None:
+def test_small_slices_of_the_owner_withdrawn_first_move_before_larger_ones() -> None:
     fleet = Fleet(deployment(proxies=40, slices=96, queue_limit_lines=2000.0, max_messages=1000), 12, seed=20)
     for _ in range(4):
         fleet.events += [
             interface.RequestReport(number, "look", 40, 0, SECOND) for number in fleet.store if number % 12
         ]
         fleet.run(1)
-    for backend in range(100, 109):  # the slices of 100 are the small ones
+    for backend in range(100, 109):  # the slices of 100 are the smallest
         fleet.change(backend, "draining")
         fleet.run(0.4 if backend == 104 else 0)
     while 100 in fleet.owners():
@@ -213,7 +214,7 @@
     assert 108 in fleet.owners()
 
 
-def test_a_proxy_that_an_earlier_life_kept_from_a_server_is_let_in_again_in_time() -> None:
+def test_a_withdrawal_by_an_earlier_incarnation_is_lifted_at_each_proxy_in_time() -> None:
     fleet = Fleet(deployment(), 6, seed=21, ran_s=3)
     fleet.change(103, "gone")
     fleet.run(9)
@@ -226,7 +227,7 @@
     fleet.run(2)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
-    fleet.run(30)  # the model holds rule 1
+    fleet.run(30)  # the model checks rule 1
     assert 103 in fleet.owners() and not any(103 in proxy.out for proxy in fleet.proxies)
 
 
@@ -239,35 +240,35 @@
     fleet.start()
     fleet.change(106, "ready")
     fleet.run(0.05)
-    fleet.controller.table.shut_out.repeats.add(106)  # there was no room for it yet
+    fleet.controller.table.shut_out.repeats.add(106)  # as if there had been no room for it yet
     fleet.change(106, "draining")
     for number in range(4):
         fleet.join(number)
     fleet.run(2)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
-    fleet.run(30)  # the model holds rule 1
+    fleet.run(30)  # the model checks rule 1
     assert 103 in fleet.owners() and not any(103 in proxy.out for proxy in fleet.proxies)
 
 
 def test_a_server_that_returns_after_a_restart_of_the_controller_is_let_in_by_all_proxies() -> None:
-    # Guards against a withdrawal of an earlier life, of a server that the new life learns of later.
+    # Guards against a withdrawal by an earlier incarnation, of a server that the new one learns of later.
     fleet = Fleet(deployment(), 6, seed=21, ran_s=3)
     fleet.change(103, "gone")
     fleet.run(9)
     assert any(103 in proxy.out for proxy in fleet.proxies)
-    away = fleet.registry.pop(103)
+    absent = fleet.registry.pop(103)
     fleet.crash()
     fleet.start()
     for number in range(4):
         fleet.join(number)
     fleet.run(8)
-    fleet.registry[103] = away
+    fleet.registry[103] = absent
     fleet.change(103, "ready", started_us=fleet.now)
     fleet.run(1)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
-    fleet.run(30)  # the model holds rule 1
+    fleet.run(30)  # the model checks rule 1
     assert 103 in fleet.owners() and not any(103 in proxy.out for proxy in fleet.proxies)
 
 
@@ -285,5 +286,5 @@
     fleet.run(1)
     for backend in (100, 101, 102, 104):
         fleet.change(backend, "draining")
-    fleet.run(30)  # the model holds rule 1
+    fleet.run(30)  # the model checks rule 1
     assert 103 in fleet.owners() and not any(103 in proxy.out for proxy in fleet.proxies)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""When a server counts as failing or silent, and whom its slices leave for it."""
+"""When a server counts as failing or unresponsive, and when its slices leave it for that."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lapispass.policy.health import Backend
 
 
-def test_a_mute_server_loses_its_slices_and_an_overloaded_one_keeps_them() -> None:
+def test_an_unresponsive_server_loses_its_slices_and_an_overloaded_one_keeps_them() -> None:
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
     fleet.unresponsive.add(101)
     fleet.run(12)
@@ -24,8 +24,9 @@
 @pytest.mark.parametrize(
     ("lost", "linger", "moves"), [(6, 3, True), (6, 5, False), (8, 5, True), (4, 3, False)]
 )
-def test_a_failing_server_loses_its_slices_where_a_move_bares_them_for_less(lost, linger, moves) -> None:
-    # Half of the tries at jammed servers failed for some seconds; moving their slices bared them for seven.
+def test_a_failing_server_loses_its_slices_where_a_handover_costs_less(lost, linger, moves) -> None:
+    # Half of the tries at overloaded servers failed for some seconds. Their slices were handed over, which
+    # left them unserved for seven seconds.
     fleet = Fleet(deployment(linger_us=linger * SECOND), backends=4, seed=1, ran_s=4)
     fleet.failing_tries[101] = lost
     fleet.run(12)
@@ -39,24 +40,25 @@
 @pytest.mark.parametrize(
     ("backends", "failing", "moves"),
     [(12, (101, 103), True), (12, (101, 103, 105, 107), False), (3, (101,), True)],
-)  # 101 is alone in its zone there
+)  # in the last case 101 is alone in its zone
 def test_slices_stay_where_most_servers_of_a_zone_fail_at_once(backends, failing, moves) -> None:
-    # A zone was cut off for some seconds: its slices all went to the others, which could not carry them.
+    # A zone was cut off for some seconds. All its slices moved to the other servers, which could not carry
+    # the load.
     fleet = Fleet(deployment(slices=24), backends=backends, seed=1, ran_s=4)
     fleet.failing_tries.update(dict.fromkeys(failing, 9))
     fleet.run(4)
     assert sum("failing" in line for line in fleet.logs) == len(failing)
-    fleet.change(100, "draining")  # what must move goes to a server that is well
+    fleet.change(100, "draining")  # slices that must move go to a healthy server
     fleet.run(8)
     assert fleet.owners().isdisjoint(failing) == moves and 100 not in fleet.owners()
     assert all(fleet.store[s].owner not in failing for s in (0, 12))
 
 
 @pytest.mark.parametrize(("failing", "moves"), [((101,), True), ((101, 103, 105, 107), False)])
-def test_a_zone_is_judged_by_the_servers_that_a_controller_hears_of(failing, moves) -> None:
-    # Each of five controllers heard of a part of 120 servers: 24 of a zone of 61 failed at once, all that
-    # were heard of, which passed for a minority. A quarter of the fleet's slices left servers that were back,
-    # and lay bare for 6.5 s.
+def test_a_zone_is_judged_by_the_servers_that_a_controller_has_reports_about(failing, moves) -> None:
+    # Each of five controllers had reports about a part of 120 servers. Of a zone of 61 servers, 24 failed at
+    # once: all that had reports, but they counted as a minority. A quarter of the fleet's slices left servers
+    # that had recovered, and were unserved for 6.5 s.
     fleet = Fleet(deployment(slices=12), backends=40, seed=1)  # 28 of the servers have no slice here
     fleet.run(4)
     fleet.failing_tries.update(dict.fromkeys(failing, 9))
@@ -66,8 +68,9 @@
     assert moved == ({number - 100 for number in failing} if moves else set())
 
 
-def test_a_failing_server_is_probed_until_it_answers_and_well_as_soon_as_its_visits_are() -> None:
-    # A probe lost just as it turned failing was its last: three servers of a zone stayed left out for good.
+def test_a_failing_server_is_probed_until_it_answers_and_healthy_once_its_requests_succeed() -> None:
+    # A probe that was lost just as its server became failing was the last one: three servers of a zone were
+    # never used again.
     fleet = Fleet(deployment(slices=24), backends=12, seed=1, ran_s=4)
     fleet.failing_tries.update({n: 9 for n in (101, 103, 105, 107)})
     fleet.run(3)
@@ -79,7 +82,7 @@
     assert all(table.owner == 100 + s % 12 for s, table in fleet.store.items()), "nothing was moved"
 
 
-def test_late_sums_of_all_make_nobody_silent() -> None:
+def test_late_reports_about_all_servers_make_none_unresponsive() -> None:
     fleet = Fleet(deployment(), 5, seed=5, ran_s=4)
     fleet.unresponsive.update(fleet.registry)
     fleet.run(9)
@@ -95,23 +98,26 @@
     assert not fleet.owners() & {900, 102} and None not in fleet.owners()
 
 
-def test_a_list_that_calls_running_servers_gone_moves_nothing() -> None:
+def test_a_registry_that_lists_running_servers_as_gone_moves_nothing() -> None:
     fleet = Fleet(deployment(must_leave_gone=False), 4, seed=13, ran_s=4)
-    wrong = [entry._replace(state="gone") for entry in list(fleet.registry.values())[:3]]
-    fleet.update_registry(wrong)
+    wrong_entries = [entry._replace(state="gone") for entry in list(fleet.registry.values())[:3]]
+    fleet.update_registry(wrong_entries)
     fleet.run(8)
     assert {100, 101, 102} <= fleet.owners() and None not in fleet.owners()
-    fleet.change(101, "gone")  # this one is
+    fleet.change(101, "gone")  # this one really is
     fleet.run(9)
     assert 101 not in fleet.owners() and None not in fleet.owners()
 
 
-def test_late_sums_and_answers_wait_for_the_next_look_and_an_announcement_does_not(monkeypatch) -> None:
-    """A large fleet brings some in every turn: a look at all servers for each took all the process's time."""
-    looks = []
-    monkeypatch.setattr(Backend, "update_health", lambda backend: looks.append(backend.number))
+def test_reports_wait_for_the_next_evaluation_and_a_registry_update_does_not(monkeypatch) -> None:
+    """Guards against evaluating all servers for each report, which took all the time of the process.
+
+    In a large fleet every turn brings some reports and acknowledgements.
+    """
+    evaluated = []
+    monkeypatch.setattr(Backend, "update_health", lambda backend: evaluated.append(backend.number))
     fleet = Fleet(deployment(proxies=40, slices=60), 60, seed=17, ran_s=0.1)
-    looks.clear()
+    evaluated.clear()
     turn, now = fleet.controller.turn, fleet.now
     for step in range(40):  # in 40 ms
         turn(
@@ -122,7 +128,7 @@
                 interface.RequestReport(3, "look", 5, 0, SECOND),
             ],
         )
-    assert len(looks) <= 60  # one look at each
-    looks.clear()
+    assert len(evaluated) <= 60  # each server once
+    evaluated.clear()
     orders = turn(now + 41 * MS, [registry_changes(server(107, "draining", "west"))])
     assert interface.SetWithdrawn(107, True) in orders
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""What a cold or loaded server is given, and how much of it is let in."""
+"""Which slices a cold or loaded server gets, and how many of their requests are admitted."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lapispass.controller import Controller
 
 
-def test_a_restarted_owner_is_let_in_by_its_sure_part() -> None:
+def test_a_restarted_owner_is_admitted_by_its_assured_capacity() -> None:
     fleet = Fleet(deployment(slices=3), 3, seed=9, requests=20, ran_s=5)
     fleet.change(101, "ready", fleet.now)
     fleet.run(0.2)
@@ -20,17 +20,17 @@
 
 @pytest.mark.parametrize("queued", [False, True])
 def test_a_cold_server_gets_more_by_what_it_has_completed_since_its_start(queued) -> None:
-    # A lost zone was back, and its servers refused most visits until they were warm, though none waited
-    # there: the margin for news that come late was kept long after they had come.
+    # A lost zone was back. Its servers rejected most requests until they were warm, although nothing was
+    # queued there: the margin for late reports was kept long after these had arrived.
     fleet = Fleet(deployment(slices=3), 3, seed=9, requests=20, ran_s=5)
     fleet.change(101, "ready", fleet.now)
     shares = []
     for _ in range(14):
-        if queued:  # what is completed there takes nearly all of the agreed time
+        if queued:  # what it completes takes nearly the whole deadline
             fleet.events += [interface.ServerReport(101, "east", 0, 200, 1700 * MS, SECOND, None)]
         fleet.run(0.25)
         shares.append({table.owner: table.share for table in fleet.store.values()}[101])
-    assert max(shares[:7]) < 0.1, "what it did before its start tells nothing"
+    assert max(shares[:7]) < 0.1, "what it completed before its start does not count"
     assert (shares[-1] < 0.2) == queued
 
 
@@ -52,8 +52,9 @@
     assert {fleet.store[number].owner for number in (2, 6, 10)} == {103}
 
 
-def test_a_server_just_started_counts_by_the_part_that_it_is_let_in() -> None:
-    # he52968: a server 1.7 s old was given a slice for relief, whose visits had trebled since the last sum.
+def test_a_server_just_started_counts_with_the_part_that_is_admitted_there() -> None:
+    # he52968: a server that had started 1.7 s before got a slice to relieve the slice's owner. The requests
+    # for that slice had tripled since the last report.
     now = 100 * SECOND
     controller = Controller(deployment(), 1, now)
     controller.turn(now, events_to_running([server(n) for n in range(3)], 4, 6))
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -14,7 +14,7 @@
 from async_tests import ended
 from configurations import CONFIG, GRADES, MEMBER, listing, write_config
 from fleet import MS, SECOND, acknowledgements, deployment, events_to_running, registry_changes, server
-from full_look import FullLook
+from full_evaluation import FullEvaluation
 
 from lapispass import interface
 from lapispass.controller import Controller
@@ -163,7 +163,7 @@
 
 def cost(servers: int, proxies: int, mine: int, looks: int) -> float:
     """Processor time of a look at all, the least of several rounds."""
-    controller, now = world(servers, proxies, 5 * servers, mine, FullLook)
+    controller, now = world(servers, proxies, 5 * servers, mine, FullEvaluation)
     best = float("inf")
     for _ in range(5):
         began = time.process_time()
