--- a/benchmarks/held_at_size.py
+++ b/benchmarks/held_at_size.py
@@ -115,7 +115,7 @@
     leaving = [name for name in names if nodes[name].view.zone in ("z0", "z1")]
     begun, costs = now, []
     for name in leaving:
-        nodes[name].view.state = "out"
+        nodes[name].view.state = "draining"
     for gate in gates:
         made[gate].apply_changes([SetWithdrawn(name, True) for name in leaving])
     returning: list[tuple[int, int, str]] = []
--- a/lapispass/controller.py
+++ b/lapispass/controller.py
@@ -75,7 +75,7 @@
         turn.updated_servers.clear()
         for server in self.fleet.in_order(due):
             self.agenda.set(server.number, server.evaluate())
-            if server.state == "past" and self.table.forget_server(server.number):
+            if server.state == "removed" and self.table.forget_server(server.number):
                 self.agenda.forget(server.number)
                 self.fleet.forget(server.number)
                 continue
--- a/lapispass/core/connection_controller.py
+++ b/lapispass/core/connection_controller.py
@@ -236,7 +236,7 @@
         """
         states = {view.state for view in self.nodes.values()}
         # Draining nodes count: if all nodes drain at once, none is ready, and the drains still need plans.
-        known = states & {"ready", "out", "ill"}
+        known = states & {"ready", "draining", "unhealthy"}
         return bool(known) and ("unproven" not in states or now > self.started_at + SETTLE_US)
 
     def make_plans(self, now: int, orders: ControllerOutput) -> None:
@@ -324,7 +324,7 @@
         destinations = max(1, sum(view.accepts_connections for view in self.nodes.values()))
         disconnected = [gate for gate in self.gates.values() if not gate.connected]
         for node, view in self.nodes.items():
-            if view.draining or view.state in ("gone", "past"):
+            if view.draining or view.state in ("gone", "removed"):
                 continue
             demands = {
                 gate.name: Demand(
--- a/lapispass/core/fleet_index.py
+++ b/lapispass/core/fleet_index.py
@@ -45,9 +45,9 @@
     def __init__(self) -> None:
         self.servers: dict[BackendId, AnyServer] = {}
         self.states: Counter[str] = Counter()
-        self.ill: dict[BackendId, str] = {}  # the zones of ill servers
+        self.unhealthy: dict[BackendId, str] = {}  # the zones of unhealthy servers
         self.succeeding: dict[BackendId, str] = {}  # the zones of ready servers at which most tries succeed
-        self.out: dict[BackendId, None] = {}  # servers in the state "out"
+        self.draining: dict[BackendId, None] = {}  # servers in the state "draining"
         self.capacities_per_weight: dict[BackendId, float] = {}  # of running ones, where it was measured
         self.warm_completed_per_s: dict[BackendId, float] = {}  # of running and warm servers
         self._indexed: dict[BackendId, Indexed] = {}
@@ -82,9 +82,9 @@
             self.states[before.state] -= 1
             self._warm_weight = None
         for collection in (
-            self.ill,
+            self.unhealthy,
             self.succeeding,
-            self.out,
+            self.draining,
             self.capacities_per_weight,
             self.warm_completed_per_s,
         ):
@@ -103,9 +103,9 @@
             self._warm_weight = None
         self.states[now.state] += 1
         self._indexed[number] = now
-        _set_or_remove(self.ill, number, now.zone, now.state == "ill")
+        _set_or_remove(self.unhealthy, number, now.zone, now.state == "unhealthy")
         _set_or_remove(self.succeeding, number, now.zone, now.state == "ready" and now.succeeding)
-        _set_or_remove(self.out, number, None, now.state == "out")
+        _set_or_remove(self.draining, number, None, now.state == "draining")
 
 
 Value = TypeVar("Value")
--- a/lapispass/core/messages.py
+++ b/lapispass/core/messages.py
@@ -6,14 +6,14 @@
 
 from lapispass.interface import BackendId
 
-RUNNING_STATES = ("ready", "unproven", "ill")  # states of a server that the registry lists as running
+RUNNING_STATES = ("ready", "unproven", "unhealthy")  # states of a server that the registry lists as running
 
 
 class ServerStatus(NamedTuple):
     """The status of a server, for front ends that hold connections there."""
 
     backend: BackendId
-    state: str  # ready, unproven, ill, out, gone or past
+    state: str  # ready, unproven, unhealthy, draining, gone or removed
     zone: str
     weight: float
     completed_per_s: float  # requests completed a second
--- a/lapispass/core/shared_types.py
+++ b/lapispass/core/shared_types.py
@@ -57,7 +57,7 @@
 
     node: NodeId
     zone: str
-    state: str  # ready, unproven, ill, out (draining), gone or past; see `Backend.state`
+    state: str  # ready, unproven, unhealthy, draining, gone or removed; see `Backend.classify`
     weight: float = 1.0
     started_us: int = 0  # time of its last start; 0 if long ago
     utilization: float = 0.0  # share of its capacity in use; 0 if unknown
@@ -72,7 +72,7 @@
 
     @property
     def draining(self) -> bool:
-        return self.state == "out"
+        return self.state == "draining"
 
     @property
     def accepts_connections(self) -> bool:
--- a/lapispass/gate/standalone.py
+++ b/lapispass/gate/standalone.py
@@ -13,7 +13,7 @@
 from lapispass.operator.operator_pb2 import Node
 from lapispass.operator.read import BadFile, Source
 
-STATES = {Node.READY: "ready", Node.DRAINING: "out", Node.GONE: "gone"}
+STATES = {Node.READY: "ready", Node.DRAINING: "draining", Node.GONE: "gone"}
 
 
 class Standalone:
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -113,7 +113,7 @@
         return interface.ClearTable(slice_.number)
 
     def to_empty(self) -> list[Slice]:
-        """The slices that leave their owner now, first all of owners that drain, are gone or are ill."""
+        """The slices that leave their owner now, first those of draining, gone or unhealthy owners."""
         now, by_owner = self.turn.now, self.slice_index.by_owner
         closed = [owner for owner in by_owner if not self.placement.is_open(owner)]
         urgent = [s for owner in closed for s in by_owner[owner].values() if self.may_leave(s)]
--- a/lapispass/policy/health.py
+++ b/lapispass/policy/health.py
@@ -102,13 +102,13 @@
 
         - "ready": running and healthy.
         - "unproven": listed as running, but no probe has been answered.
-        - "ill": running, but unresponsive or failing.
-        - "out": draining, or gone where slices must leave such a server: withdrawn from the tables.
+        - "unhealthy": running, but unresponsive or failing.
+        - "draining": draining, or gone where slices must leave such a server: withdrawn from the tables.
         - "gone": the registry lists it as gone, and it answers no probes.
-        - "past": gone and without a slice for `retention_us`; it may be forgotten.
+        - "removed": gone and without a slice for `retention_us`; it may be forgotten.
         """
         if not self.requests_per_s and self.turn.now > self.gone_at + self.rules.retention_us:
-            return "past"  # it can be forgotten, so that memory use does not grow without bound
+            return "removed"  # it can be forgotten, so that memory use does not grow without bound
         # The registry may be wrong. A server that it lists as gone, but that never drained and answers
         # probes, keeps its slices where the settings allow it. One that is listed as running, but has
         # answered no probe, is 'unproven'. The drawback: a server that is back cold counts as warm until the
@@ -116,14 +116,16 @@
         if self.registry_state == "draining" or (
             self.registry_state == "gone" and self.rules.must_leave_gone
         ):
-            return "out"
+            return "draining"
         if not self.alive:
             return "gone" if self.registry_state == "gone" else "unproven"
-        return "ready" if self.health == "healthy" else "ill"
+        return "ready" if self.health == "healthy" else "unhealthy"
 
     def needs_probe(self, state: str) -> bool:
         """Whether only a probe can show that the server is up."""
-        return state == "unproven" or (self.registry_state == "gone" and state not in ("out", "gone", "past"))
+        return state == "unproven" or (
+            self.registry_state == "gone" and state not in ("draining", "gone", "removed")
+        )
 
     def suspected_at(self) -> int:
         """When it is suspected to be unresponsive, unless a request succeeds or all reports are late."""
@@ -140,9 +142,9 @@
             self.turn.last_report_at - self.last_success_at,
             self.turn.last_report_at >= self.suspected_at(),
         )
-        # An ill server is probed again even after a lost probe. Otherwise that probe would be its last one,
-        # and the server would never be used again.
-        in_doubt = self.needs_probe(state) or suspected or state == "ill"
+        # An unhealthy server is probed again even after a lost probe. Otherwise that probe would be its last
+        # one, and the server would never be used again.
+        in_doubt = self.needs_probe(state) or suspected or state == "unhealthy"
         if rules.probes_allowed and in_doubt and now >= self.next_probe_at:
             self.next_probe_at = now + SECOND_US
             self.turn.orders.append(interface.Probe(self.number))
@@ -218,8 +220,8 @@
         """When its state can change without an event."""
         now, rules, at = self.turn.now, self.rules, NEVER
         if not self.requests_per_s:
-            at = min(at, self.gone_at + rules.retention_us + 1) if self.state != "past" else NEVER
-        if rules.probes_allowed and (self.needs_probe(self.state) or self.state == "ill"):
+            at = min(at, self.gone_at + rules.retention_us + 1) if self.state != "removed" else NEVER
+        if rules.probes_allowed and (self.needs_probe(self.state) or self.state == "unhealthy"):
             at = min(at, self.next_probe_at)
         if (suspected_at := self.suspected_at()) < NEVER:
             at = min(at, self.next_silence_check(suspected_at))
--- a/lapispass/policy/placement.py
+++ b/lapispass/policy/placement.py
@@ -20,19 +20,20 @@
         self.refresh()
 
     def refresh(self) -> None:
-        """Computes this turn's figures: zones where most servers are ill, mean capacity, owners' loads."""
+        """Computes this turn's figures: zones that are mostly unhealthy, mean capacity, owners' loads."""
         # A fault that affects all servers, or most of a zone, is not their own. Their slices stay, because
         # the remaining servers could not carry the load. Only servers with enough reports count: a controller
         # receives reports about few requests at most servers.
-        ill_by_zone, healthy_by_zone = (
-            Counter(self.fleet.ill.values()),
+        unhealthy_by_zone, healthy_by_zone = (
+            Counter(self.fleet.unhealthy.values()),
             Counter(self.fleet.succeeding.values()),
         )
-        mostly_ill = 3 * ill_by_zone.total() > ill_by_zone.total() + healthy_by_zone.total()
-        self.zones_mostly_ill = {
+        mostly_unhealthy = 3 * unhealthy_by_zone.total() > unhealthy_by_zone.total() + healthy_by_zone.total()
+        self.zones_mostly_unhealthy = {
             zone
-            for zone in ill_by_zone
-            if mostly_ill or ill_by_zone[zone] > max(1, (ill_by_zone[zone] + healthy_by_zone[zone]) // 2)
+            for zone in unhealthy_by_zone
+            if mostly_unhealthy
+            or unhealthy_by_zone[zone] > max(1, (unhealthy_by_zone[zone] + healthy_by_zone[zone]) // 2)
         }
         # Where other controllers have slices too, a server's capacity cannot be measured exactly: this
         # controller's requests are only a part of those that keep it busy. Then the fleet's mean capacity is
@@ -45,15 +46,17 @@
         self.baselines: dict[BackendId, tuple[float, float]] = {}
 
     def is_open(self, number: BackendId) -> bool:
-        """Whether a server may own slices: it runs, and is not ill while others in its zone are healthy."""
+        """Whether a server may own slices: it runs, and is healthy or in a zone that mostly is not."""
         server = self.fleet.servers.get(number)
         if server is None or server.state not in RUNNING_STATES:
             return False
-        return server.state != "ill" or server.zone in self.zones_mostly_ill
+        return server.state != "unhealthy" or server.zone in self.zones_mostly_unhealthy
 
     def any_open(self) -> bool:
         """Whether any server may own slices."""
-        return self.fleet.states["ready"] + self.fleet.states["unproven"] > 0 or bool(self.zones_mostly_ill)
+        return self.fleet.states["ready"] + self.fleet.states["unproven"] > 0 or bool(
+            self.zones_mostly_unhealthy
+        )
 
     def capacity(self, server: Backend) -> float:
         """The requests a second that a server can complete now."""
--- a/lapispass/policy/weighted_tables.py
+++ b/lapispass/policy/weighted_tables.py
@@ -39,14 +39,14 @@
     def changes(self) -> Iterator[interface.SetTableEntry]:
         """The table entries that must change.
 
-        A server has a weight while it runs; a cold one has a part of it. An ill server has none if its zone
-        has a healthy one.
+        A server has a weight while it runs; a cold one has a part of it. An unhealthy server has none if
+        its zone has a healthy one.
         """
         servers = list(self.fleet.servers.values())
         zones_with_healthy = {s.zone for s in servers if s.state in ("ready", "unproven") and s.warm}
         for server in servers:
             usable = server.state in RUNNING_STATES and not (
-                server.state == "ill" and server.zone in zones_with_healthy
+                server.state == "unhealthy" and server.zone in zones_with_healthy
             )
             weight = server.weight * (0.25 * int(4 * server.warmth()) or 0.1) if usable else 0.0
             for table, number in self.keys(server):
--- a/lapispass/policy/withdrawals.py
+++ b/lapispass/policy/withdrawals.py
@@ -35,11 +35,11 @@
         if now >= self.next_repeat_at and not shut_out.repeats and (again := self.to_repeat()):
             shut_out.repeat(again)
             self.next_repeat_at = now + self.rules.unserved_limit_us // 8
-        withdrawn_owners = [number for number in self.fleet.out if number in self.slice_index.by_owner]
+        withdrawn_owners = [number for number in self.fleet.draining if number in self.slice_index.by_owner]
         orders: list[interface.Order] = []
         room, self.has_more = budget.deferrable_lines // 2, False
         for server in self.fleet.in_order({*withdrawn_owners, *shut_out.out, *shut_out.repeats}):
-            out, number = server.state == "out", server.number
+            out, number = server.state == "draining", server.number
             if not self.needs_order(server, room):
                 continue
             # If most of a fleet drains at once, the orders must not overfill the queue.
@@ -59,13 +59,13 @@
         The next repeats wait for the pending ones, and such a server would hold them up.
         """
         for server in self.fleet.in_order(self.shut_out.repeats):
-            if server.state == "out" and server.number not in self.slice_index.by_owner:
+            if server.state == "draining" and server.number not in self.slice_index.by_owner:
                 self.shut_out.postpone(server.number)
 
     def needs_order(self, server: Backend, room: int) -> bool:
         """Whether a withdrawal of this server, or its end, has to be ordered."""
         number, shut_out = server.number, self.shut_out
-        if server.state == "out":
+        if server.state == "draining":
             return number in self.slice_index.by_owner and (
                 number not in shut_out.out or shut_out.again.has(server)
             )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -90,7 +90,7 @@
     parts = intake.allot(NOW, cold, demands, 1.0, 4)
     assert sum(part.held for part in parts.values()) + 4 == 20
     assert sum(part.new_per_s for part in parts.values()) == pytest.approx(2.0)
-    ill = replace(cold, state="ill")
+    ill = replace(cold, state="unhealthy")
     assert all(
         part.new_per_s == 0 and part.held == demands[gate].held
         for gate, part in intake.allot(NOW, ill, demands).items()
--- a/tests/test_connection_controller.py
+++ b/tests/test_connection_controller.py
@@ -40,7 +40,7 @@
     for _ in range(400):
         open_connection(gate, BOARD, None)
     delayed = [gate.connections.count("n0")] * 8  # reports are 0.8 s old
-    views = [*ready_nodes("n1"), *ready_nodes("n0", state="out")]
+    views = [*ready_nodes("n1"), *ready_nodes("n0", state="draining")]
     ends: dict[int, int] = {}
     for step in range(200):
         now = NOW + step * SECOND // 10
@@ -129,7 +129,7 @@
     controller.update_nodes(NOW, views)
     first = controller.evaluate(NOW).plans
     assert not first["g0"].ceilings and set(first["g0"].allotted) == {"n0", "n1", "n2"}
-    controller.update_nodes(NOW + SECOND, [replace(views[0], state="out"), *views[1:]])
+    controller.update_nodes(NOW + SECOND, [replace(views[0], state="draining"), *views[1:]])
     second = controller.evaluate(NOW + SECOND).plans
     for gate in ("g0", "g1"):
         ceiling = second[gate].ceilings["n0"]
@@ -146,7 +146,7 @@
     controller.update_nodes(NOW + 10 * SECOND, ready_nodes("n1"))
     controller.gate_joined(NOW + 10 * SECOND, "g0", "east", Version(NOW, 7), {"n0": 5 * SECOND})
     controller.report_received(NOW + 10 * SECOND, "g0", 1, report_rows(n0=50, n1=10))
-    controller.update_nodes(NOW + 11 * SECOND, [*ready_nodes("n1"), *ready_nodes("n0", state="out")])
+    controller.update_nodes(NOW + 11 * SECOND, [*ready_nodes("n1"), *ready_nodes("n0", state="draining")])
     plan = controller.evaluate(NOW + 11 * SECOND).plans["g0"]
     assert plan.ceilings["n0"].deadline_us == NOW + 15 * SECOND  # and not 18 s from now
     assert plan.version > Version(NOW, 7)
@@ -154,10 +154,10 @@
 
 def test_a_gate_that_knows_less_time_left_shortens_a_drain_that_was_begun_over() -> None:
     controller = connection_controller()
-    controller.update_nodes(NOW, [*ready_nodes("n1"), *ready_nodes("n0", state="out")])
+    controller.update_nodes(NOW, [*ready_nodes("n1"), *ready_nodes("n0", state="draining")])
     controller.gate_joined(NOW, "g0", "east", Version(3, 1), {"n0": 4 * SECOND})
     controller.report_received(NOW, "g0", 1, report_rows(n0=5))
-    controller.update_nodes(NOW, [*ready_nodes("n1"), *ready_nodes("n0", state="out")])
+    controller.update_nodes(NOW, [*ready_nodes("n1"), *ready_nodes("n0", state="draining")])
     assert controller.evaluate(NOW).plans["g0"].ceilings["n0"].deadline_us == NOW + 4 * SECOND
 
 
@@ -182,7 +182,7 @@
 def test_where_all_nodes_leave_the_drains_are_kept_all_the_same() -> None:
     controller = connection_controller()
     join_gate(controller, "g0", n0=100, n1=100)
-    controller.update_nodes(NOW, ready_nodes("n0", "n1", state="out"))
+    controller.update_nodes(NOW, ready_nodes("n0", "n1", state="draining"))
     plan = controller.evaluate(NOW).plans["g0"]
     assert 80 < sum(ceiling.at(NOW + 9 * SECOND) for ceiling in plan.ceilings.values()) < 120
     assert controller.forecast.overflow == 200 and not plan.allotted
@@ -220,14 +220,14 @@
 def test_plans_that_say_the_same_are_not_sent_again() -> None:
     controller = connection_controller()
     join_gate(controller, "g0", n0=100, n1=100)
-    controller.update_nodes(NOW, [*ready_nodes("n0"), *ready_nodes("n1", state="out")])
+    controller.update_nodes(NOW, [*ready_nodes("n0"), *ready_nodes("n1", state="draining")])
     assert controller.evaluate(NOW).plans
     sent = 0
     for step in range(1, 100):
         now = NOW + step * SECOND // 10
         left = controller.gates["g0"].last_plan.ceilings["n1"].at(now)
         controller.report_received(now, "g0", 1 + step, report_rows(n0=100, n1=left))
-        controller.update_nodes(now, [*ready_nodes("n0"), *ready_nodes("n1", state="out")])
+        controller.update_nodes(now, [*ready_nodes("n0"), *ready_nodes("n1", state="draining")])
         sent += len(controller.evaluate(now).plans)
     assert sent <= 4
 
--- a/tests/test_due_evaluation.py
+++ b/tests/test_due_evaluation.py
@@ -246,7 +246,7 @@
         def evaluates_late(server: Backend) -> int:
             at = evaluate(server)
             match skipped:
-                case "probe" if server.state in ("unproven", "ill"):
+                case "probe" if server.state in ("unproven", "unhealthy"):
                     return at + 3 * SECOND
                 case "silence" if server.requests_per_s and server.health == "healthy":
                     return at + 5 * SECOND
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -184,7 +184,7 @@
     controller.turn(now, [interface.RegistryUpdate("changes", (entries[0]._replace(state="gone"),))])
     now += controller.rules.retention_us + SECOND
     controller.turn(now, [])
-    assert "a" in controller.backends and controller.backends["a"].state == "past"
+    assert "a" in controller.backends and controller.backends["a"].state == "removed"
     orders = controller.turn(now + SECOND, [interface.ProxyJoined(0, False, "east", 1.0)])
     for _ in range(20):
         now += SECOND
