--- a/lapispass/policy/rules.py
+++ b/lapispass/policy/rules.py
@@ -24,6 +24,14 @@
     - `message_gap_us`: the least time between two messages.
     - `message_gap_per_proxy_us`: the same for each proxy that has joined, so that the overhead of messages
       takes up at most a quarter of the channel.
+    - `registry_delay_us`: the longest time that the registry takes to report a change.
+    - `demand_half_life_us`: the half-life of the sums of a slice's requests.
+    - `cold_capacity_factor`: the part of its estimated capacity that a cold server is trusted with.
+    - `failure_ratio`: the share of failed tries above which a server counts as failing.
+    - `same_zone_classes`, `any_zone_classes`: bit masks of request classes, by where their requests may go.
+    - `zone_tables`: the number of each zone's table; table 0 contains the servers of all zones.
+    - `classes_by_value`: value, index and name of each request class, the most valuable one first.
+    - `admit_all`: the level that admits all requests.
     """
 
     def __init__(self, deployment: interface.Deployment) -> None:
