--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -43,12 +43,12 @@
 
 from lapispass import interface
 from lapispass.core import resources, tables
-from lapispass.core.clients import Client, Terms
+from lapispass.core.clients import Client, ClientLimits
 from lapispass.core.connection_controller import ConnectionController, ReportedCounts
 from lapispass.core.plans import Version
 from lapispass.core.shared_types import Bounds, ConnectionClass, DrainTerms, NodeView
 from lapispass.core.takeover import Takeover
-from lapispass.core.versions import KINDS, Shelf
+from lapispass.core.versions import KINDS, ResourceCache
 from lapispass.gate import wire
 from lapispass.net import codec as words
 from lapispass.net.codec import Codec, Listing
@@ -56,7 +56,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
-from lapispass.net.lines import Lines
+from lapispass.net.lines import LineSplitter
 from lapispass.net.probes import Probes
 from lapispass.net.registry import Registry
 from lapispass.net.relay import Calls, News
@@ -294,9 +294,9 @@
 
 def cut_up(text: bytes) -> Iterator[memoryview]:
     """The lines of a text as they come in reads of the usual size."""
-    lines = Lines(LIMITS.message_bytes)
+    lines = LineSplitter(LIMITS.message_bytes)
     for begin in range(0, len(text), LIMITS.read_bytes):
-        yield from lines.cut(text[begin : begin + LIMITS.read_bytes])
+        yield from lines.split(text[begin : begin + LIMITS.read_bytes])
 
 
 def texts(write: Callable[[int], bytes]) -> dict[int, bytes]:
@@ -314,7 +314,7 @@
 
         def read(text: bytes) -> None:
             for line in cut_up(text):
-                collectors.take(line, client)
+                collectors.handle_line(line, client)
             heard.clear()
 
         return least_ms({count: partial(read, text) for count, text in told.items()}, repeat)
@@ -507,14 +507,14 @@
 
 def xds(repeat: int) -> Iterator[Cost]:
     """Memory of what is published, and of clients' books, without sockets and streams."""
-    shelf, terms, chance = shelf_of(2200), Terms(3 * SECOND, clients=10_000), random.Random(1)
+    cache, terms, chance = cache_of(2200), ClientLimits(3 * SECOND, max_clients=10_000), random.Random(1)
 
     def push(count: int) -> int:
-        items = [item for kind in KINDS for item in shelf_of(count).items[kind].values()]
+        items = [item for kind in KINDS for item in cache_of(count).by_kind[kind].values()]
         return sum(len(codec.packed(item.body).SerializeToString()) for item in items)
 
     def books(count: int) -> list[Client]:
-        made = [Client(f"c{n}", "z01", False, True, shelf, terms, 10**9) for n in range(count)]
+        made = [Client(f"c{n}", "z01", False, True, cache, terms, 10**9) for n in range(count)]
         for client in made:
             names = {f"{number}.{kind}" for number in chance.sample(range(2200), 20) for kind in "rw"}
             for kind in KINDS:
@@ -522,22 +522,22 @@
         return made
 
     yield Cost("xds", "memory of what is published", "B", "slices",
-               [(count, held(partial(shelf_of, count))[0]) for count in SLICES])  # fmt: skip
+               [(count, held(partial(cache_of, count))[0]) for count in SLICES])  # fmt: skip
     yield Cost("xds", "bytes of everything to one client", "B", "slices",
                [(count, push(count)) for count in SLICES])  # fmt: skip
     yield Cost("xds", "memory of clients' books, 20 slices each, streams left out", "B", "clients",
                [(count, held(partial(books, count))[0]) for count in (100, 500, 2000)])  # fmt: skip
 
 
-def shelf_of(slices: int) -> Shelf:
-    shelf, stands = Shelf(), tables.Tables(slices)
-    resources.fixed(shelf, slices, 2, 3 * SECOND)
+def cache_of(slices: int) -> ResourceCache:
+    cache, stands = ResourceCache(), tables.Tables(slices)
+    resources.put_static_resources(cache, slices, 2, 3 * SECOND)
     stands.nodes = {f"s-{n}": tables.Address(f"10.0.{n >> 8}.{n & 255}:3000", "z01") for n in range(slices)}
     changes: list[tables.TableChange] = [tables.SetOwner(number, f"s-{number}") for number in range(slices)]
     for change in changes:
         stands.apply(change)
-    resources.follow(shelf, stands, changes, 0)
-    return shelf
+    resources.update_assignments(cache, stands, changes, 0)
+    return cache
 
 
 # controllers that share nodes
@@ -549,7 +549,7 @@
     def looking(slices: int, controllers: int) -> Callable[[], Any]:
         takeover = Takeover(slices, "n-000/1", linger_us=300_000)
         alive = {f"n-{number:03d}": 1.0 for number in range(controllers)}
-        return partial(takeover.look, 0, alive, {}, True, lambda number: False)
+        return partial(takeover.evaluate, 0, alive, {}, True, lambda number: False)
 
     for slices in (200, 2200):
         works = {count: looking(slices, count) for count in (5, 20, 60, 110)}
--- a/lapispass/xds/server.py
+++ b/lapispass/xds/closing_server.py
@@ -1,9 +1,9 @@
-"""grpclib's server, whose end closes its connections, and which accepts as the other listeners do.
+"""A grpclib server that closes its connections when it ends, and accepts them as the other listeners do.
 
-`grpclib.server.Server.close` stops listening and cancels the calls under way, but leaves every connection
-open: a client would find out by a ping that is not answered. Here they are closed, those that come meanwhile
-too. It listens by asyncio's server, which accepts nothing for a second where descriptors run out for a
-moment; here `Acceptor` accepts in its place.
+`grpclib.server.Server.close` stops listening and cancels the calls in progress, but leaves every connection
+open, so that a client finds out only by an unanswered ping. This server closes them all, including those
+that are accepted meanwhile. grpclib listens with asyncio's server, which accepts nothing for a second when
+file descriptors run out for a moment; here `Acceptor` accepts in its place.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 from grpclib.server import Server
 
 from lapispass.core import momentary
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.retry import START
 
 if TYPE_CHECKING:
     from grpclib._typing import IServable
 
 BACKLOG = 1024
-AT_ONCE = 128
-SETTLE_S = 1.0  # for connections that were accepted just before the end
+MAX_ACCEPTS_AT_ONCE = 128
+SETTLE_S = 1.0  # time allowed for connections that were accepted just before the end to be set up
 
 
 class ClosingServer(Server):
@@ -44,33 +44,35 @@
     def _protocol_factory(self) -> H2Protocol:
         return TrackedProtocol(super()._protocol_factory(), self)
 
-    def opened(self, transport: asyncio.Transport) -> None:
-        """A connection stands; one that came while the server ended is closed at once."""
+    def connection_opened(self, transport: asyncio.Transport) -> None:
+        """Registers a connection; one that is set up while the server ends is closed at once."""
         self.connections.add(transport)
         if self.is_closing:
             transport.abort()
 
-    async def listen(self, address: str, tls: ssl.SSLContext | None, log: Part, counters: Counters) -> str:
-        """Listens at `host:port`; the address that it has got.
+    async def listen(
+        self, address: str, tls: ssl.SSLContext | None, log: PartLogger, counters: Counters
+    ) -> str:
+        """Listens at `host:port` and returns the address that was bound.
 
-        An address that cannot be had for a moment, as while a former process ends, is tried for a while.
+        An address that is not available, for instance while a previous process ends, is retried for a while.
         """
-        listener = await listener_in_time(address, BACKLOG)
-        await self.start_in_time(listener, tls)
+        listener = await listen_with_retries(address, BACKLOG)
+        await self.start_with_retry(listener, tls)
         asyncio.get_running_loop().remove_reader(listener.fileno())
         self.acceptor = Acceptor(
             listener,
             self._protocol_factory,
             name="xds",
-            at_once=AT_ONCE,
+            accept_batch=MAX_ACCEPTS_AT_ONCE,
             log=log,
             counters=counters,
             tls=tls,
         )
         return await bound_address(listener)
 
-    async def start_in_time(self, listener: socket.socket, tls: ssl.SSLContext | None) -> None:
-        """Starts on a socket that listens; asyncio has it listen once more, which may fail for a moment."""
+    async def start_with_retry(self, listener: socket.socket, tls: ssl.SSLContext | None) -> None:
+        """Starts on a listening socket. asyncio calls `listen` on it again, which is retried if it fails."""
         loop = asyncio.get_running_loop()
         until = loop.time() + START.wait_s
         while True:
@@ -82,7 +84,7 @@
             await asyncio.sleep(START.pause_s)
 
     async def end(self) -> None:
-        """Ends as `close` does, once each connection that was accepted stands."""
+        """Closes the server once each accepted connection is set up, so that none is left open."""
         try:
             if self.acceptor is not None:
                 self.acceptor.stop()
@@ -92,7 +94,7 @@
             self.close()
 
     def close(self) -> None:
-        """Stops listening, cancels calls and closes connections; what is still unsent is dropped."""
+        """Stops listening, cancels calls and closes connections; data that is not sent yet is dropped."""
         super().close()
         self.is_closing = True
         for transport in self.connections:
@@ -100,7 +102,7 @@
 
 
 class TrackedProtocol(H2Protocol):
-    """One connection, which its server knows of for as long as it stands."""
+    """A connection that is registered with its server while it is open."""
 
     def __init__(self, plain: H2Protocol, server: ClosingServer) -> None:
         super().__init__(plain.handler, plain.config, plain.h2_config)
@@ -110,7 +112,7 @@
         assert isinstance(transport, asyncio.Transport)
         super().connection_made(transport)
         self.transport = transport
-        self.server.opened(transport)
+        self.server.connection_opened(transport)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         self.server.connections.discard(self.transport)
--- a/lapispass/xds/write_routes.py
+++ b/lapispass/xds/write_routes.py
@@ -1,60 +1,63 @@
-"""Write routes that a client gets last, after it has acknowledged the write listener in time.
+"""Write routes, which a client gets last, after it has acknowledged the write listener in time.
 
-A client may stand still with the write listener received and not read. Once its stream has been cut, nobody
-learns when it reads that listener, whose time to live counts from then. So the listener alone lets nothing
-through: a client is granted it only while its write routes are closed, and they are opened on the same
-stream, once the listener is acknowledged. Routes that are read late open nothing, since the listener has run
-out by then.
+A client may pause when it has received the write listener and not read it yet. Once its stream has been cut,
+the controller cannot know when the client reads that listener, and its time to live starts only then. So the
+listener alone must not admit writes. A client is granted the listener only while its write routes are
+closed, that is empty. They are opened on the same stream once the listener is acknowledged. Routes that are
+read late admit nothing, because the listener has expired by then.
 """
 
 from __future__ import annotations
 
 from lapispass.core.clients import WRITES, Client
 from lapispass.core.resources import Routes
-from lapispass.core.versions import Shelf, Watch
+from lapispass.core.versions import ResourceCache, Watch
 
 
 class WriteRoutes:
-    """Opens and closes the write routes of a desk's clients. What is offered of routes never changes."""
+    """Opens and closes the write routes of the server's clients, by switching between two caches.
 
-    def __init__(self, offered: Shelf) -> None:
-        self.offered = offered
-        self.closed = Shelf()
-        for name, item in offered.items["rds"].items():
+    The routes in both caches never change.
+    """
+
+    def __init__(self, open_cache: ResourceCache) -> None:
+        self.open_cache = open_cache
+        self.closed_cache = ResourceCache()
+        for name, item in open_cache.by_kind["rds"].items():
             body = Routes(WRITES, 0, "w", 1) if name == WRITES else item.body
-            self.closed.put("rds", name, body, item.turn)
+            self.closed_cache.put("rds", name, body, item.turn)
 
-    def watch(self, client: Client) -> None:
-        """Called before a client's first message about routes is taken: it begins with closed ones."""
+    def add_watch(self, client: Client) -> None:
+        """Gives the client closed routes; to be called before its first message about routes is handled."""
         if "rds" not in client.watches:
-            client.watches["rds"] = Watch("rds", client.whole, self.closed)
+            client.watches["rds"] = Watch("rds", client.is_sotw, self.closed_cache)
 
     def may_grant(self, client: Client) -> bool:
-        """Whether the client is known to hold no open write routes, so that it may get the listener."""
+        """Whether the client is known to hold no open write routes, so that it may be sent the listener."""
         routes = client.watches.get("rds")
-        if routes is None or routes.shelf is not self.closed or not routes.settled:
+        if routes is None or routes.cache is not self.closed_cache or not routes.settled:
             return False
-        closed = self.closed.items["rds"][WRITES].version
-        return not routes.wants(WRITES) or routes.holds.get(WRITES) == closed
+        closed = self.closed_cache.by_kind["rds"][WRITES].version
+        return not routes.wants(WRITES) or routes.acked.get(WRITES) == closed
 
-    def follow(self, client: Client) -> None:
-        """Opens the routes of a client that has the listener, and closes those of one that may not write."""
+    def update_routes(self, client: Client) -> None:
+        """Opens the write routes if the client has the write listener, and closes them otherwise."""
         routes = client.watches.get("rds")
         if routes is None:
             return
-        shelf = self.offered if has_listener(client) else self.closed
-        if routes.shelf is shelf:
+        cache = self.open_cache if has_listener(client) else self.closed_cache
+        if routes.cache is cache:
             return
-        routes.shelf.watchers.discard(routes)
-        routes.shelf = shelf
-        shelf.watchers.add(routes)
+        routes.cache.open_watches.discard(routes)
+        routes.cache = cache
+        cache.open_watches.add(routes)
         if routes.wants(WRITES):
-            routes.changed(WRITES, 0, False)
+            routes.mark_changed(WRITES, 0, False)
 
 
 def has_listener(client: Client) -> bool:
-    """Whether the client may write, and has acknowledged the listener in time."""
+    """Whether the client may write and has acknowledged the write listener in time."""
     if client.state != "writes":
         return False
     listeners = client.watches["lds"]
-    return WRITES in listeners.holds and listeners.took_us <= client.terms.slack_us
+    return WRITES in listeners.acked and listeners.answer_time_us <= client.limits.delivery_margin_us
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 from async_tests import ended
-from parties import Party
+from parties import LoopbackServer
 from support_gate import DEPLOYMENT, MS, SHORT_LIMITS, Fleet, fleet, take_upgrade, until
 from websockets.asyncio.client import ClientConnection, connect
 from websockets.exceptions import ConnectionClosed
@@ -23,7 +23,7 @@
 from lapispass.standins.nodes import CounterNode, Strength, clock_us
 from lapispass.standins.screens import Screen
 from lapispass.standins.xds_client import XdsClient
-from lapispass.xds.beside import Beside
+from lapispass.xds.platform_server import PlatformXdsServer
 
 pytestmark = pytest.mark.time_limit(30)
 ROOMY = "connections: 5000 new_per_s: 400 burst: 40 cold_ms: 2000 cold_share: 0.2"
@@ -209,7 +209,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
     async with (
-        Party(stall) as silent,
+        LoopbackServer(stall) as silent,
         fleet(tmp_path, 3, limits=replace(SHORT_LIMITS, ping_us=60_000 * MS)) as env,
     ):
         key = key_at(env, "n0")
@@ -341,9 +341,9 @@
 async def test_xds_clients_beside_the_platforms_controller(tmp_path: Path) -> None:
     """The same turns of the controller reach the relay's proxies, gates and xDS clients."""
     async with fleet(tmp_path, 2, extra='xds { listen: "127.0.0.1:0" }') as env:
-        front = next(front for front in env.service.beside if isinstance(front, Beside))
-        await until(lambda: front.desk.address)
-        client = XdsClient(front.desk.address, "c0", 1)
+        front = next(front for front in env.service.beside if isinstance(front, PlatformXdsServer))
+        await until(lambda: front.xds_server.address)
+        client = XdsClient(front.xds_server.address, "c0", 1)
         running = asyncio.create_task(client.run())
         env.list("n0", "Terminating")
         await until(lambda: env.relay.owners == dict.fromkeys(range(12), "n1"), 15)
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -7,14 +7,19 @@
 from dataclasses import replace
 
 import pytest
-from parties import TOLD, launch, running, until
+from parties import SMALL_DEPLOYMENT, launch, running, until
 from rule_world import RELAY_FAULTS, Roll, World, comes_right, is_right
 
 from lapispass.net.service import Service
 
 SLICES, PROXIES = 8, 4
 DEPLOYMENT = replace(
-    TOLD, slices=SLICES, proxies=PROXIES, probes_allowed=False, subscribes_to_registry=True, cold_us=1
+    SMALL_DEPLOYMENT,
+    slices=SLICES,
+    proxies=PROXIES,
+    probes_allowed=False,
+    subscribes_to_registry=True,
+    cold_us=1,
 )
 
 
