--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -270,22 +270,22 @@
 
 async def serve(
     environment: Mapping[str, str],
-    joined: Callable[[Launch], Launch] = lambda launch: launch,
+    complete: Callable[[Launch], Launch] = lambda launch: launch,
     attach: Callable[[Service], None] = lambda service: None,
 ) -> None:
     """Runs a whole process: signals, the configuration and the service.
 
-    `joined` completes a configuration after each read. `attach` adds further front ends to the service.
+    `complete` finishes a configuration after each read. `attach` adds further front ends to the service.
     """
     loop, replaced = asyncio.get_running_loop(), asyncio.Event()
     # Set first, so that a file replaced while it is being read is read again.
     loop.add_signal_handler(signal.SIGHUP, replaced.set)
-    service = Service(joined(await Launch.read_with_retries(environment)))
+    service = Service(complete(await Launch.read_with_retries(environment)))
     attach(service)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.stop)
     loop.add_signal_handler(signal.SIGUSR1, service.print_counters)
-    reloads = asyncio.create_task(reload_on_request(service, environment, replaced, joined))
+    reloads = asyncio.create_task(reload_on_request(service, environment, replaced, complete))
     try:
         await service.run()
     finally:
@@ -296,13 +296,13 @@
     service: Service,
     environment: Mapping[str, str],
     replaced: asyncio.Event,
-    joined: Callable[[Launch], Launch] = lambda launch: launch,
+    complete: Callable[[Launch], Launch] = lambda launch: launch,
 ) -> None:
     """Reloads the configuration whenever `replaced` is set; an invalid one changes nothing."""
     while await replaced.wait():
         replaced.clear()
         try:
-            await service.follow(joined(await Launch.read_with_retries(environment)))
+            await service.follow(complete(await Launch.read_with_retries(environment)))
         except BadStart as error:
             service.counters["service.reloads_refused"] += 1
             service.log.warn("configuration rejected", why=error)
@@ -311,13 +311,13 @@
 
 
 def main(
-    joined: Callable[[Launch], Launch] = lambda launch: launch,
+    complete: Callable[[Launch], Launch] = lambda launch: launch,
     attach: Callable[[Service], None] = lambda service: None,
 ) -> int:
     """Runs the process; returns its exit status."""
     log.start()
     try:
-        run_to_completion(serve(os.environ, joined, attach))
+        run_to_completion(serve(os.environ, complete, attach))
     except BadStart as error:
         print(f"lapispass: {error}", file=sys.stderr)
         return 2
