--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -73,7 +73,7 @@
     assert heard == [event for _, event in batch.news]
 
 
-def test_load_reports_stand_in_the_order_of_the_deployment() -> None:
+def test_load_reports_are_in_the_order_of_the_deployment() -> None:
     met = report(f"{LOAD} metrics=inflight:7,util:0.61,queue:2,odd:x")[1]
     assert isinstance(met, interface.ServerReport) and met.load == (2.0, 0.61)
     assert CODEC.parse_load("inflight=7,util=0.61", "=") == (None, 0.61)
@@ -84,7 +84,7 @@
         CODEC.parse_load("inflight=7,queue=2,util=nan", "=")
 
 
-def test_the_list_is_read_and_a_start_is_a_moment_in_unix_time() -> None:
+def test_the_list_is_read_and_start_times_are_unix_times() -> None:
     # A start time exceeds any duration: the bound for durations made every new server's entry malformed.
     message = CODEC.parse_registry_text(
         listing(
@@ -112,7 +112,7 @@
         {"locality": None, "phase": []},
     ],
 )
-def test_an_odd_entry_is_left_out_and_counted(odd: dict) -> None:
+def test_a_malformed_entry_is_left_out_and_counted(odd: dict) -> None:
     message = CODEC.parse_registry_text(listing({**MEMBER, **odd}, {**MEMBER, "id": "s-2"}, 5))
     assert [entry.backend for entry in message.entries] == ["s-2"] and message.unreadable == 2
 
@@ -131,7 +131,7 @@
         '{"revision":1,"complete":true,"members":{}}',
     ],
 )
-def test_an_odd_list_is_refused(text: str) -> None:
+def test_a_malformed_list_is_rejected(text: str) -> None:
     with pytest.raises(WireError):
         CODEC.parse_registry_text(text)
 
@@ -157,7 +157,7 @@
         "SUBSCRIBE node=1 locality=a w=1 cold=0",
     ],
 )
-def test_an_odd_line_is_refused(line: str) -> None:
+def test_a_malformed_line_is_rejected(line: str) -> None:
     with pytest.raises(WireError):
         report(line)
 
@@ -182,12 +182,12 @@
         ("ROW", "garbage"),
     ],
 )
-def test_odd_news_are_refused(kind: str, data: str) -> None:
+def test_malformed_events_are_rejected(kind: str, data: str) -> None:
     with pytest.raises(WireError):
         CODEC.parse_event(kind, data)
 
 
-def test_nothing_from_outside_makes_the_module_fail() -> None:
+def test_no_message_from_outside_makes_the_controller_fail() -> None:
     chance = random.Random(5)
     controller, now, events = Controller(DEPLOYMENT, 1, 0), 0, []
     texts = [
@@ -247,7 +247,7 @@
     assert CODEC.format_order(order) == text
 
 
-def test_an_answer_to_a_mark_of_an_earlier_life_does_not_pass_for_one_of_this_life() -> None:
+def test_an_acknowledgement_of_an_earlier_incarnation_is_not_taken_for_a_current_one() -> None:
     before, now = Codec(DEPLOYMENT, 256, 7), Codec(DEPLOYMENT, 256, 40_000)
     assert now.format_order(interface.Barrier(65535, True)) == "SYNC,39999,1"
     assert now.parse_event("ACK", "node=1&nonce=39999&latency=1").barrier == 65535
@@ -444,7 +444,7 @@
 
 @drawing(derandomize=True, max_examples=400, deadline=None)
 @given(some.one_of(some.integers(0, 9), odd), some.one_of(some.booleans(), odd), some.one_of(members, odd))
-def test_whatever_a_list_holds_is_read_or_left_out_and_counted(revision, complete, members) -> None:
+def test_each_entry_of_a_list_is_read_or_left_out_and_counted(revision, complete, members) -> None:
     """A list is rejected as a whole or read entry by entry.
 
     What can't be read passes neither for gone nor for the whole.
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -34,7 +34,7 @@
     ("behaviour", "reason"),
     {200: 0, 500: 1, 503: 2, "silent": 3, "refused": 4, "reset": 5, "odd": 5, "no address": 4}.items(),
 )
-async def test_what_a_probe_found_is_told_apart(behaviour: int | str, reason: int) -> None:
+async def test_each_result_of_a_probe_has_its_reason(behaviour: int | str, reason: int) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
         assert (await read_request(reader, state))[:2] == ("GET", "/stats")
@@ -57,7 +57,7 @@
         assert heard[0].load == ((2.0, 0.61) if reason == 0 else None) and heard[0].took_us >= 0
 
 
-async def test_servers_that_answer_nothing_keep_no_other_from_its_probe() -> None:
+async def test_silent_servers_do_not_keep_others_from_being_probed() -> None:
     """A zone of 97 servers fell silent: each second the same ones used up all 64 slots for probes."""
 
     async def well(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("becomes", [{"host_port": "127.0.0.1:2"}, {"up_since_ms": 1_796_139_439_123}])
-async def test_the_answer_of_a_server_that_has_been_replaced_tells_nothing_of_the_new_one(
+async def test_the_answer_of_a_replaced_server_is_not_used_for_the_new_one(
     becomes: dict,
 ) -> None:
     answer, answering = asyncio.Event(), []
@@ -118,7 +118,7 @@
         await until(lambda: any(isinstance(event, interface.ProbeResult) for event in heard))
 
 
-async def test_a_probe_whose_dial_takes_too_long_found_silence_and_no_refusal(
+async def test_a_slow_dial_counts_as_a_timeout_and_not_as_a_refusal(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One refused probe confirms that a server listed as gone is gone; one slow dial does not."""
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -34,7 +34,7 @@
 from lapispass.net.registry import Registry
 
 
-async def test_with_nothing_to_go_on_from_the_list_comes_first_then_the_watch_from_its_version() -> None:
+async def test_without_a_known_version_the_list_is_read_first_and_then_watched() -> None:
     spoken = [change(10, {**MEMBER, "phase": "Terminating"}), 3600.0]
     async with RegistryServer(spoken) as book, following(book) as (registry, heard):
         await until(lambda: len(heard) == 3)
@@ -47,7 +47,7 @@
         assert registry.addresses == {"s-1": "127.0.0.1:1"}
 
 
-async def test_what_is_known_is_gone_on_from_and_changes_may_come_in_pieces() -> None:
+async def test_a_watch_starts_from_the_known_version_and_changes_may_arrive_in_chunks() -> None:
     line = change(6, {**MEMBER, "id": "s-2"}, {**MEMBER, "phase": "Gone"})
     pieces = [b"\n", line[:20], 0.02, line[20:60], 0.02, line[60:], 3600.0]
     async with RegistryServer(pieces) as book, following(book, KNOWN) as (_, heard):
@@ -59,7 +59,7 @@
         assert book.targets == ["/registry/instances?watch=1&from=5"]
 
 
-async def test_a_move_while_there_is_no_version_to_go_on_from_does_not_go_round_without_end() -> None:
+async def test_a_move_without_a_known_version_does_not_loop_forever() -> None:
     async with RegistryServer([503]) as book, following(book) as (registry, heard):
         await until(lambda: LOST in heard)
         registry.version, registry.limits = None, replace(QUICK, list_bytes=10)  # no list can be read
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize(
     "steps", [[503], ["reset"], [b"\n", 0.01], [b"{odd}\n"], [b"\n", 3600.0], [change(6)[:30], 0.05]]
 )
-async def test_a_watch_that_fails_is_told_as_lost_and_asked_for_again_by_the_module(steps: list) -> None:
+async def test_a_failed_watch_is_reported_lost_and_requested_again_by_the_controller(steps: list) -> None:
     async with RegistryServer(steps) as book, following(book, KNOWN) as (registry, heard):
         await until(lambda: LOST in heard)
         assert len(book.targets) == 1
@@ -80,7 +80,7 @@
         await until(lambda: len(book.targets) == 2)
 
 
-async def test_a_lost_watch_that_no_turn_asks_for_is_opened_all_the_same() -> None:
+async def test_a_lost_watch_that_no_turn_requests_is_reopened() -> None:
     async with RegistryServer([503], [503]) as book, following(book, KNOWN) as (registry, heard):
         await until(lambda: len(book.targets) == 3)
         assert heard[1:3] == [LOST, LOST] and registry.counters["registry.unasked"] == 2
@@ -98,7 +98,7 @@
         assert book.targets[2].endswith("from=9")
 
 
-async def test_a_list_beyond_all_measure_is_taken_in_part_and_nobody_is_gone_for_it() -> None:
+async def test_a_list_beyond_the_limit_is_used_in_part_and_makes_no_server_gone() -> None:
     heard: list[interface.Event] = []
     registry = Registry("", KNOWN, heard.append, CODEC, replace(QUICK, servers=2), Counters())
     for start in range(0, 60, 4):
@@ -108,14 +108,14 @@
     assert list(registry.addresses) == ["s-52", "s-53", "s-56", "s-57"]
 
 
-async def test_an_entry_that_cannot_be_read_does_not_pass_for_gone() -> None:
+async def test_a_malformed_entry_does_not_make_its_server_gone() -> None:
     whole = json.dumps(listing(7, {**MEMBER, "id": "s-2"}, {"id": "s-1"}))
     async with RegistryServer([whole.encode() + b"\n", 3600.0]) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: len(heard) == 2)
         assert heard[1] == interface.RegistryUpdate("changes", (S1._replace(backend="s-2"),))
 
 
-async def test_a_move_while_the_old_place_is_being_dialed_is_followed(
+async def test_a_move_while_the_old_address_is_being_dialed_is_followed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The watch stayed at the old address for as long as that one sent heartbeats."""
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("fails", ["refused", "turned away", "silent"])
-async def test_a_place_that_does_not_answer_yet_is_tried_until_it_does_and_the_old_one_serves(
+async def test_a_new_address_is_tried_until_it_answers_and_the_old_one_serves(
     fails: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Only one attempt was made at the new address while the old one sent heartbeats."""
@@ -186,7 +186,7 @@
             await until(lambda: all(writer.is_closing() for writer in old.writers))
 
 
-async def test_there_and_back_again_stays_where_it_was() -> None:
+async def test_a_move_there_and_back_keeps_the_connection() -> None:
     async with (
         RegistryServer([b"\n", 0.05] * 99) as old,
         Later(*[["silent"]] * 9) as new,
@@ -200,7 +200,7 @@
         assert len(old.targets) == 1 and len(heard) == 1 and not registry.endpoint.standby
 
 
-async def test_bytes_that_dribble_in_and_never_make_a_line_are_no_sign_of_life() -> None:
+async def test_bytes_without_a_complete_line_do_not_keep_the_watch_open() -> None:
     async with RegistryServer([b"\n", *[b"{", 0.03] * 999]) as book, following(book, KNOWN) as (_, heard):
         await until(lambda: LOST in heard)
         assert len(book.targets) == 1
@@ -265,7 +265,7 @@
         assert heard[1:-1] == [LOST] * (len(heard) - 2) and len(heard) > 2
 
 
-async def test_silence_within_a_list_is_given_no_longer_after_slow_ones() -> None:
+async def test_the_idle_timeout_within_a_list_does_not_grow_after_slow_ones() -> None:
     async with RegistryServer([b"{", 3600.0]) as book, following(book, KNOWN) as (registry, heard):
         registry.slow_reads = 3
         await until(lambda: registry.watch_open.is_set())
@@ -275,7 +275,7 @@
         assert took_us < 4 * QUICK.watch_idle_us, "a slow line would get eight times as long"
 
 
-async def test_a_watch_that_only_gives_signs_of_life_is_opened_anew_before_it_is_left() -> None:
+async def test_a_watch_with_nothing_but_heartbeats_is_replaced_while_it_is_used() -> None:
     """The list changed while the watch only sent heartbeats, and nothing replaced the watch."""
     limits = replace(QUICK, watch_renew_us=100 * MS, watch_renew_max_us=200 * MS)
     last = [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
@@ -288,7 +288,7 @@
         assert registry.counters["registry.renewals"] >= 2, "a rejected renewal must not end the old watch"
 
 
-async def test_a_server_that_only_others_name_brings_the_next_call() -> None:
+async def test_a_server_that_no_list_names_causes_the_next_renewal() -> None:
     async with (
         RegistryServer(
             [b"\n", 0.05] * 400, [change(8, {**MEMBER, "id": "s-2"}), *[b"\n", 0.05] * 400]
@@ -308,7 +308,7 @@
     ("version", "whole", "since", "taken"),
     [(6, False, 5, False), (6, True, 5, False), (8, False, 5, True), (4, False, 5, None), (4, True, 5, True)],
 )
-async def test_a_watch_that_takes_over_tells_again_what_the_other_has_told(
+async def test_a_new_watch_may_repeat_what_the_old_one_delivered(
     version: int, whole: bool, since: int, taken: bool | None
 ) -> None:
     heard: list[interface.Event] = []
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -52,7 +52,7 @@
         assert relay.orders_done == ["SYNC,6,1", *TEXTS * times, "SYNC,8,1"]
 
 
-async def test_the_order_that_the_relay_stops_at_is_left_out_and_the_rest_goes_on() -> None:
+async def test_the_order_that_the_relay_stops_at_is_dropped_and_the_rest_is_applied() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults += [
             "short 1",
@@ -67,14 +67,14 @@
         )
 
 
-async def test_an_order_that_the_relay_finds_invalid_is_found_by_halves() -> None:
+async def test_an_invalid_order_is_found_by_bisection() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         relay.faults.append("picky")
         await calls.carry_out([*ORDERS[:2], interface.SetWithdrawn("bad", True), *ORDERS[2:]])
         assert relay.orders_done == TEXTS and calls.counters["relay.orders_left_out"] == 1
 
 
-async def test_a_long_turn_is_split_with_its_mark_behind_all_it_covers() -> None:
+async def test_a_long_turn_is_split_with_its_barrier_last() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         await calls.carry_out(
             [
@@ -87,7 +87,7 @@
         assert len(relay.writers) == 1, "one connection serves them all"
 
 
-async def test_calls_wait_for_a_relay_that_is_away_and_orders_for_slices_given_anew_are_void() -> None:
+async def test_calls_wait_for_an_absent_relay_and_orders_for_regranted_slices_are_void() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         stream = EventStream(relay.address, calls, lambda event: None, CODEC, QUICK, Counters())
         relay.faults += ["reset before"] * 10_000  # the relay is away until the event has arrived
@@ -101,7 +101,7 @@
         assert relay.calls[0] == TEXTS and relay.orders_done == ["DEL,1", "SYNC,7,1"]
 
 
-async def test_news_after_the_picture_are_passed_on_and_nothing_is_written_after_the_call() -> None:
+async def test_events_after_the_snapshot_are_passed_on_and_nothing_is_sent_after_the_request() -> None:
     async with RelayServer() as relay, events_of(relay) as (_, heard):
         for kind, data in (
             ("ACK", "node=1&nonce=9&latency=2.5"),
@@ -119,7 +119,7 @@
         assert relay.written_after == b""
 
 
-async def test_a_flood_of_answers_keeps_no_giving_waiting() -> None:
+async def test_a_flood_of_acknowledgements_does_not_delay_a_grant() -> None:
     """One chunk was read per iteration of the event loop, with a turn in each: a grant was read 5 s late."""
     async with RelayServer() as relay, events_of(relay) as (_, heard):
         state, writer = relay.streams[-1]
@@ -137,7 +137,7 @@
         assert rounds < 50 and len(heard) == 501
 
 
-async def test_after_a_gap_what_stands_is_compared_with_what_was_known() -> None:
+async def test_after_a_gap_the_snapshot_is_compared_with_the_known_state() -> None:
     async with RelayServer() as relay, events_of(relay) as (_, heard):
         relay.snapshot = [SNAPSHOT_LINES[0], *SNAPSHOT_LINES[2:4], ("GRANT", "shard=5&set=1")]
         relay.reset()
@@ -152,7 +152,7 @@
         ]
 
 
-async def test_a_slice_whose_owner_changed_in_the_gap_was_given_anew() -> None:
+async def test_a_slice_whose_owner_changed_in_the_gap_was_granted_again() -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         await stream.calls.carry_out([interface.SetTableEntry(4, "s-2", 1.0)])
         relay.snapshot[3:] = [
@@ -168,7 +168,7 @@
         )
 
 
-async def test_what_stands_is_not_compared_while_a_call_is_under_way() -> None:
+async def test_no_snapshot_is_compared_while_a_call_is_under_way() -> None:
     # A snapshot once showed a slice without the owner that the call under way was about to set. The slice
     # counted as granted again, got another owner, and both owners received its writes.
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
@@ -191,7 +191,7 @@
         )
 
 
-async def test_orders_that_waited_for_the_picture_are_void_for_slices_that_it_gives_anew() -> None:
+async def test_orders_that_waited_for_the_snapshot_are_void_for_slices_that_it_grants_again() -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         relay.snapshot[3] = ("ROW", "shard=3&endpoint=s-9&w=1")
         stream.limits = replace(QUICK, snapshot_us=10 * SECOND, snapshot_gap_us=300 * MS)
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize("doubt", ["left out", "given anew"])
-async def test_where_the_store_may_differ_from_what_was_ordered_what_stands_is_asked_for(doubt: str) -> None:
+async def test_a_snapshot_is_requested_if_the_store_may_differ_from_the_orders(doubt: str) -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         stream.calls.limits = replace(QUICK, answer_us=10 * SECOND)
         relay.faults += ["held"] if doubt == "given anew" else ["short 0"] * 2
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize("fault", ["silent", "unreadable event", "unreadable chunk", "cut off", "too long"])
-async def test_news_that_fail_are_asked_for_again(fault: str) -> None:
+async def test_a_failed_event_stream_is_reopened(fault: str) -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, heard):
         relay.sends_heartbeats = fault != "silent"
         if fault == "unreadable event":  # a change was missed
@@ -240,7 +240,7 @@
         assert heard[:4] == [interface.ProxyLeft(0), interface.ProxyLeft(1), *SNAPSHOT_EVENTS[:2]]
 
 
-async def test_a_picture_with_something_unreadable_is_asked_for_again_and_in_the_end_taken_as_it_is() -> None:
+async def test_a_malformed_snapshot_is_requested_again_and_finally_accepted() -> None:
     """A joined proxy with a malformed event counted as one that has left, and after a lease as harmless."""
     odd = ("SUBSCRIBE", "node=x&locality=a&w=1&cold=1")
     async with RelayServer() as relay, events_of(relay) as (_, heard):
@@ -257,7 +257,7 @@
         await until(lambda: len(heard) == 4)  # the snapshot stays malformed: the rest of it is accepted
 
 
-async def test_a_relay_that_needs_longer_for_its_picture_comes_to_an_end() -> None:
+async def test_a_relay_that_is_slow_to_send_its_snapshot_gets_longer() -> None:
     """Each attempt had the same time-out, and none completed the snapshot."""
 
     class Slow(RelayServer):
@@ -279,7 +279,7 @@
         assert stream.counters["news.opened"] > 1
 
 
-async def test_news_that_dribble_are_no_sign_of_life() -> None:
+async def test_bytes_without_a_complete_line_do_not_keep_the_stream_open() -> None:
     async with RelayServer() as relay, events_of(relay) as (stream, _):
         relay.sends_heartbeats = False
         state, writer = relay.streams[-1]
@@ -290,7 +290,7 @@
         await until(lambda: len(relay.streams) == 2)
 
 
-async def test_a_move_of_the_relay_while_the_old_place_is_being_dialed_is_followed(
+async def test_a_move_of_the_relay_while_the_old_address_is_being_dialed_is_followed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     held, heard, limits = HeldDials(monkeypatch), [], replace(QUICK, connect_us=60 * SECOND)
@@ -307,7 +307,7 @@
             assert not old.streams and not calls.lock.locked()
 
 
-async def test_an_answer_that_comes_twice_does_not_pass_for_that_to_the_next_call() -> None:
+async def test_a_repeated_answer_is_not_taken_for_that_of_the_next_call() -> None:
     class Twice(RelayServer):
         """Repeats the first call's answer to the second call, which it does not apply."""
 
@@ -341,7 +341,7 @@
             )
 
 
-async def test_what_comes_unasked_on_a_kept_connection_has_what_stands_compared() -> None:
+async def test_an_unrequested_answer_causes_a_new_snapshot() -> None:
     async with RelayServer() as relay, calls_to(relay) as calls:
         doubts: list[bool] = []
         calls.on_uncertainty = lambda: doubts.append(True)
@@ -363,7 +363,7 @@
         assert relay.orders_done == ["SYNC,1,1", "SYNC,2,1"]
 
 
-async def test_counts_that_are_another_each_time_are_not_asked_for_without_a_pause() -> None:
+async def test_a_call_with_changing_counts_is_not_repeated_without_a_pause() -> None:
     limits = replace(QUICK, retry_min_us=40 * MS, retry_max_us=80 * MS)
     async with RelayServer() as relay, calls_to(relay, limits) as calls:
         relay.faults += [f"short {n % 2}" for n in range(10_000)]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -74,7 +74,7 @@
             await until(lambda: "SET,3,s-2,1" in relay.orders_done)
 
 
-async def test_a_fault_in_the_module_ends_the_service() -> None:
+async def test_an_exception_in_the_controller_ends_the_service() -> None:
     async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         service.controller.turn = lambda *_: 1 // 0
@@ -82,7 +82,7 @@
             await service.run()
 
 
-async def test_turns_keep_their_distance_and_wake_ups_never_come_in_the_turn_that_asked() -> None:
+async def test_turns_keep_their_interval_and_timers_never_fire_in_the_turn_that_set_them() -> None:
     async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         seen: list[tuple[int, list]] = []
@@ -99,7 +99,7 @@
         assert all(interface.TimerFired(5) in events for _, events in seen[1:])
 
 
-async def test_a_turn_is_late_when_the_process_stood_still_and_not_when_a_call_took_long() -> None:
+async def test_a_turn_is_late_after_a_stall_of_the_process_and_not_after_a_long_call() -> None:
     async with RelayServer() as relay, RegistryServer() as book:
         service = Service(launch(relay.address, book.address))
         turns: list[int] = []
@@ -118,7 +118,7 @@
         assert turns[:7] == [0, 0, 0, 0, 0, 1, 1]
 
 
-async def test_a_full_inbox_leaves_out_sums_and_nothing_else() -> None:
+async def test_a_full_inbox_drops_summed_reports_and_nothing_else() -> None:
     service = Service(launch("127.0.0.1:1", "127.0.0.1:1", limits=replace(QUICK, events=3)))
     for event in (LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, LOAD_REPORT, interface.ProxyLeft(1)):
         service.deliver(event)
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize("point", POINTS.split(", "))
 @pytest.mark.parametrize("reload", [False, True])
-async def test_a_service_told_to_end_at_any_point_ends_in_time_and_leaves_nothing(
+async def test_a_service_stopped_at_any_point_ends_in_time_and_leaves_nothing(
     point: str, reload: bool
 ) -> None:
     async with at_the_point(point) as (service, life, relay, book):
