--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -63,7 +63,7 @@
 from lapispass.operator import read as operator
 from lapispass.peers.host import SharedHost
 from lapispass.standins import fleet_parties
-from lapispass.standins.coordination import Coordination
+from lapispass.standins.coordination import CoordinationServer
 from lapispass.standins.party import answer, asked
 from lapispass.xds import codec
 
@@ -560,7 +560,7 @@
                least_ms(works, 2))  # fmt: skip
 
 
-class Counting(Coordination):
+class Counting(CoordinationServer):
     """The stand-in, with the bytes that pass."""
 
     def __init__(self) -> None:
--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/front_ends.py
@@ -7,23 +7,23 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lapispass.cli.seeds import drawn
+from lapispass.cli.seeds import draw_seed
 from lapispass.net.launch import BadStart, Launch
 from lapispass.net.service import Service
-from lapispass.net.service import main as serve
+from lapispass.net.service import main as run_service
 from lapispass.operator.read import BadFile, Source, read_at_start
 
 
-def joined(source: Source) -> Callable[[Launch], Launch]:
+def count_gates_as_proxies(source: Source) -> Callable[[Launch], Launch]:
     """Gates count as proxies: each may still act on an older table when a controller starts."""
-    more = len(source.told.gates.name)
-    return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + more))
+    gates = len(source.told.gates.name)
+    return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + gates))
 
 
 def attach(source: Source) -> Callable[[Service], None]:
     """Sets each front beside the service; a file that does not fit is a bad start."""
 
-    def fronts(service: Service) -> None:
+    def attach_front_ends(service: Service) -> None:
         try:
             if source.told.HasField("gates"):
                 from lapispass.gate.gate_server import GateServer
@@ -36,7 +36,7 @@
         except BadFile as error:
             raise BadStart(str(error)) from None
 
-    return fronts
+    return attach_front_ends
 
 
 def main(path: Path) -> int:
@@ -47,11 +47,11 @@
         print(error, file=sys.stderr)
         return 2
     if source.told.HasField("alone"):
-        from lapispass.xds.host import main as host
+        from lapispass.xds.host import main as run_host
 
         if source.told.alone.HasField("shared"):
             from lapispass.peers.host import SharedHost
 
-            return host(path, drawn(), SharedHost)
-        return host(path, drawn())
-    return serve(joined(source), attach(source))
+            return run_host(path, draw_seed(), SharedHost)
+        return run_host(path, draw_seed())
+    return run_service(count_gates_as_proxies(source), attach(source))
--- a/lapispass/cli/logs.py
+++ b/lapispass/cli/logs.py
@@ -21,10 +21,10 @@
         return None
     import structlog
 
-    order = ["time", "level", "part", "event"]
-    render: Any = structlog.processors.JSONRenderer()
+    key_order = ["time", "level", "part", "event"]
+    renderer: Any = structlog.processors.JSONRenderer()
     if style == "logfmt":
-        render = structlog.processors.LogfmtRenderer(key_order=order, drop_missing=True)
+        renderer = structlog.processors.LogfmtRenderer(key_order=key_order, drop_missing=True)
     return structlog.stdlib.ProcessorFormatter(
         foreign_pre_chain=[
             structlog.stdlib.add_log_level,
@@ -32,15 +32,15 @@
             structlog.stdlib.ExtraAdder(allow=()),
         ],
         processors=[
-            fields,
+            add_fields,
             structlog.stdlib.ProcessorFormatter.remove_processors_meta,
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
     )
 
 
-def fields(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+def add_fields(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """What a line of ours carries beside its event."""
     record = event["_record"]
     event["part"] = record.name.rpartition(".")[2]
--- a/lapispass/cli/main.py
+++ b/lapispass/cli/main.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from lapispass.cli.seeds import drawn
+from lapispass.cli.seeds import draw_seed
 
 app = typer.Typer(
     name="lapispass",
@@ -30,11 +30,11 @@
     from lapispass.gate.service import main
 
     try:
-        lines = formatter(log)
+        log_formatter = formatter(log)
     except ValueError as error:
         typer.echo(f"--log: {error}", err=True)
         raise typer.Exit(2) from None
-    raise typer.Exit(main(operator, seed or drawn(), lines))
+    raise typer.Exit(main(operator, seed or draw_seed(), log_formatter))
 
 
 @app.command()
@@ -49,9 +49,9 @@
         from lapispass.net.service import main
 
         raise typer.Exit(main())
-    from lapispass.cli.fronts import main as main_with
+    from lapispass.cli.front_ends import main as run_with_file
 
-    raise typer.Exit(main_with(operator))
+    raise typer.Exit(run_with_file(operator))
 
 
 @app.command()
--- a/lapispass/cli/seeds.py
+++ b/lapispass/cli/seeds.py
@@ -5,6 +5,6 @@
 import secrets
 
 
-def drawn() -> int:
+def draw_seed() -> int:
     """A seed for whoever gives none: 63 bits, never 0."""
     return secrets.randbits(63) | 1
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -27,20 +27,20 @@
 from lapispass.store.assignments import Assignments
 from lapispass.xds.host import Host
 
-SLICES, NODES, LEASE_MS, LIFE_MS, BARE_MS, GRACE_MS = 12, 4, 400, 150, 4000, 1000
+SLICES, NODES, LEASE_MS, WRITE_LIFETIME_MS, UNSERVED_MS, GRACE_MS = 12, 4, 400, 150, 4000, 1000
 
 
-def file_of(states: dict[str, str], store: str, started: dict[str, int]) -> str:
+def operator_file(states: dict[str, str], store: str, started: dict[str, int]) -> str:
     """An operator file of a small fleet."""
     nodes = "\n".join(
-        f'node {{ id: "{name}" address: "127.0.0.1:{9000 + place}" zone: "{"east" if place % 2 else "west"}" '
+        f'node {{ id: "{name}" address: "127.0.0.1:{9000 + index}" zone: "{"east" if index % 2 else "west"}" '
         f"state: {state} started_unix_ms: {started.get(name, 0)} }}"
-        for place, (name, state) in enumerate(states.items())
+        for index, (name, state) in enumerate(states.items())
     )
     return (
         'xds { listen: "127.0.0.1:0" late_ms: 1500 new_per_s: 1000 burst: 100 }\n'
-        f'alone {{ store_file: "{store}" slices: {SLICES} lease_ms: {LEASE_MS} write_life_ms: {LIFE_MS} '
-        f"bare_ms: {BARE_MS} cold_ms: 500 cold_share: 0.5 "
+        f'alone {{ store_file: "{store}" slices: {SLICES} lease_ms: {LEASE_MS} '
+        f"write_life_ms: {WRITE_LIFETIME_MS} bare_ms: {UNSERVED_MS} cold_ms: 500 cold_share: 0.5 "
         'visit_class { name: "look" agreed_ms: 500 patience_ms: 1000 benefit: 1 } '
         'visit_class { name: "trade-order" agreed_ms: 500 patience_ms: 1000 benefit: 3 writes: true } }\n'
         + nodes
@@ -77,7 +77,7 @@
     handovers: int = 0
     drops: int = 0
 
-    def is_over(self, elapsed_s: float, verdict: Verdict, writes: int) -> bool:
+    def is_over(self, elapsed_s: float, verdict: RunResult, writes: int) -> bool:
         """Whether a day that began `elapsed_s` ago and saw so much ends now."""
         if elapsed_s < self.seconds:
             return False
@@ -89,7 +89,7 @@
 
 
 @dataclass
-class Verdict:
+class RunResult:
     """What a seed came to."""
 
     seed: int
@@ -113,21 +113,21 @@
         return head if not self.breaches else "\n".join([head, *map(str, self.breaches[:5]), *self.log])
 
 
-class Day:
+class Run:
     """One seed."""
 
     def __init__(self, seed: int, folder: Path, duration: Duration) -> None:
         self.chance, self.folder, self.duration = random.Random(seed), folder, duration
-        self.verdict = Verdict(seed, [])
+        self.verdict = RunResult(seed, [])
         self.checker = Checker(
-            Bounds(bare_us=BARE_MS * 1000, grace_us=GRACE_MS * 1000), lambda key: slice_of(key, SLICES)
+            Bounds(bare_us=UNSERVED_MS * 1000, grace_us=GRACE_MS * 1000), lambda key: slice_of(key, SLICES)
         )
         self.checked = 0
-        self.states = {f"n{place}": "READY" for place in range(NODES)}
+        self.states = {f"n{index}": "READY" for index in range(NODES)}
         self.started: dict[str, int] = {}
         self.file = folder / "operator.textproto"
         self.clients: list[XdsClient] = []
-        self.thawed: dict[str, int] = {}  # when each client last went on
+        self.thawed_at: dict[str, int] = {}  # when each client last went on
         self.sent = 0
         self.in_flight: set[asyncio.Task[None]] = set()
         self.host: Host
@@ -139,11 +139,11 @@
 
     async def start(self) -> None:
         """The controller, or the controller anew: under another port, with the same store."""
-        self.file.write_text(file_of(self.states, "store", self.started))
+        self.file.write_text(operator_file(self.states, "store", self.started))
         self.host = Host(operator.read(self.file), self.verdict.seed + 1)
         turned = self.host.xds_server.turned
 
-        def watched(events: list[interface.Event], orders: list[interface.Order]) -> None:
+        def check_turn(events: list[interface.Event], orders: list[interface.Order]) -> None:
             for order in orders:
                 if isinstance(order, interface.SetTableEntry | interface.ClearTable):
                     owner = str(order.backend) if isinstance(order, interface.SetTableEntry) else None
@@ -151,7 +151,7 @@
                     self.verdict.handovers += owner is not None
             turned(events, orders)
 
-        self.host.xds_server.turned = watched  # type: ignore[method-assign, assignment]
+        self.host.xds_server.turned = check_turn  # type: ignore[method-assign, assignment]
         self.running = asyncio.create_task(self.host.run())
         while not self.host.xds_server.address:
             if self.running.done():
@@ -169,7 +169,7 @@
         for client in self.clients:
             client.drop()
 
-    async def play(self) -> Verdict:
+    async def play(self) -> RunResult:
         chance, verdict = self.chance, self.verdict
         store = Assignments(self.folder / "store", SLICES)  # what an earlier life has left
         store.commit([interface.SetTableEntry(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
@@ -177,34 +177,37 @@
         for number in range(SLICES):
             self.checker.publish(0, number, f"n{number % NODES}")
         await self.start()
-        for place in range(6):
-            faults = Faults(slow_s=0.06 if place == 1 else 0.0)
-            if place >= 4:
+        for index in range(6):
+            faults = Faults(slow_s=0.06 if index == 1 else 0.0)
+            if index >= 4:
                 faults = chance.choice(FAULTS)
-            elif place == 2:
+            elif index == 2:
                 faults = Faults(slow_eds_s=chance.choice([0.0, 0.5, 0.9]))
             client = XdsClient(
-                self.address, f"c{place}", verdict.seed * 10 + place, place % 3 != 2, faults=faults
+                self.address, f"c{index}", verdict.seed * 10 + index, index % 3 != 2, faults=faults
             )
             client.applied = self.check
             self.clients.append(client)
-        lives = [asyncio.create_task(client.run()) for client in self.clients]
-        writing, sampling = asyncio.create_task(self.write()), asyncio.create_task(self.sample())
+        client_tasks = [asyncio.create_task(client.run()) for client in self.clients]
+        writing, sampling = (
+            asyncio.create_task(self.send_writes()),
+            asyncio.create_task(self.sample_clients()),
+        )
         clock = asyncio.get_running_loop().time
-        begun = clock()
+        started_at = clock()
         try:
-            while not self.duration.is_over(clock() - begun, verdict, len(self.checker.carried)):
+            while not self.duration.is_over(clock() - started_at, verdict, len(self.checker.carried)):
                 await asyncio.sleep(chance.uniform(0.02, 0.15))
-                await self.trouble()
+                await self.inject_fault()
             self.thaw()
             await asyncio.sleep(LEASE_MS / 500)
         finally:
             writing.cancel()
             sampling.cancel()
             await asyncio.gather(writing, sampling, *self.in_flight, return_exceptions=True)
-            for life in lives:
-                life.cancel()
-            await asyncio.gather(*lives, return_exceptions=True)
+            for task in client_tasks:
+                task.cancel()
+            await asyncio.gather(*client_tasks, return_exceptions=True)
             self.host.stop()
             await asyncio.gather(self.running, return_exceptions=True)
         self.check()
@@ -217,7 +220,7 @@
         verdict.writers = sum(1 for client in self.clients if "writes" in client.held["lds"])
         return verdict
 
-    async def trouble(self) -> None:
+    async def inject_fault(self) -> None:
         """One thing that goes wrong, or one step of the deploy."""
         chance = self.chance
         match chance.choices(["drop", "deploy", "freeze", "thaw", "kill"], [8, 5, 1, 2, 0.15])[0]:
@@ -235,7 +238,7 @@
                     self.states[name] = "READY"
                     self.started[name] = self.host.clock.now() // 1000
                 self.checker.drains(clock_us(), name, self.states[name] != "READY")
-                self.file.write_text(file_of(self.states, "store", self.started))
+                self.file.write_text(operator_file(self.states, "store", self.started))
                 self.host.read_again()
             case "freeze":
                 self.freeze(chance.choice(self.clients))
@@ -258,10 +261,10 @@
         for client in self.clients:
             if client.frozen:
                 client.frozen = False
-                self.thawed[client.name] = clock_us()
+                self.thawed_at[client.name] = clock_us()
                 self.note(f"thawed {client.name}")
 
-    async def write(self) -> None:
+    async def send_writes(self) -> None:
         """Writes of every client, each numbered, each sent once."""
         while True:
             await asyncio.sleep(0.004)
@@ -270,37 +273,44 @@
             node = client.writes_to(slice_of(key, SLICES))
             if node is not None:
                 self.sent += 1
-                task = asyncio.create_task(self.carry(node, key, f"{client.name}-{self.sent}", clock_us()))
+                task = asyncio.create_task(
+                    self.execute_write(node, key, f"{client.name}-{self.sent}", clock_us())
+                )
                 self.in_flight.add(task)
                 task.add_done_callback(self.in_flight.discard)
 
-    async def carry(self, node: str, key: str, number: str, sent: int) -> None:
+    async def execute_write(self, node: str, key: str, number: str, sent: int) -> None:
         """A node carries a write out at some time of its life, or never: also where this process was late.
 
         Its life runs from the client's decision: this task may begin much later, behind a blocking commit.
         """
-        await asyncio.sleep(self.chance.uniform(0, LIFE_MS * 0.8) / 1000)
-        if clock_us() - sent > LIFE_MS * 1000:
+        await asyncio.sleep(self.chance.uniform(0, WRITE_LIFETIME_MS * 0.8) / 1000)
+        if clock_us() - sent > WRITE_LIFETIME_MS * 1000:
             return
         self.checker.carry(clock_us(), node, key, number)
 
-    async def sample(self) -> None:
+    async def sample_clients(self) -> None:
         """What each client without faults would pick now: rules 1 and 3, and what waits for it: rule 5."""
         while True:
             await asyncio.sleep(0.02)
             now = clock_us()
             for client in self.clients:
-                standing = self.host.xds_server.clients.get(client.name)
-                if client.faults != Faults() or client.frozen or standing is None or not standing[0].watches:
+                connected = self.host.xds_server.clients.get(client.name)
+                if (
+                    client.faults != Faults()
+                    or client.frozen
+                    or connected is None
+                    or not connected[0].watches
+                ):
                     self.checker.parted(client.name)
                     continue
-                joined = now - (self.host.clock.now() - standing[0].started_at)
-                joined = max(joined, self.thawed.get(client.name, 0))
+                joined = now - (self.host.clock.now() - connected[0].started_at)
+                joined = max(joined, self.thawed_at.get(client.name, 0))
                 for number in range(SLICES):
                     self.checker.pick(now, client.name, number, client.reads_from(number), joined)
                 waiting = sum(
                     len(watch.in_flight.resources)
-                    for watch in standing[0].watches.values()
+                    for watch in connected[0].watches.values()
                     if watch.in_flight
                 )
                 self.checker.waiting(now, client.name, waiting)
@@ -315,30 +325,30 @@
             self.verdict.log.extend(self.checker.events)
 
 
-async def play(seed: int, duration: Duration) -> Verdict:
+async def play(seed: int, duration: Duration) -> RunResult:
     """One seed, in a folder of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        return await Day(seed, Path(folder), duration).play()
+        return await Run(seed, Path(folder), duration).play()
 
 
 def main(first: int, seeds: int, seconds: float, at_once: int) -> int:
     """Many seeds; a line each as it ends, the sum last. 1 where a rule was broken."""
     logging.getLogger("lapispass").setLevel(logging.ERROR)
 
-    async def all_of_them() -> list[Verdict]:
-        gate = asyncio.Semaphore(at_once)
-        verdicts: list[Verdict] = []
+    async def run_all() -> list[RunResult]:
+        slots = asyncio.Semaphore(at_once)
+        verdicts: list[RunResult] = []
         duration = Duration(seconds, most_s=seconds)
 
-        async def one(seed: int) -> None:
-            async with gate:
+        async def run_seed(seed: int) -> None:
+            async with slots:
                 verdicts.append(await play(seed, duration))
             print(verdicts[-1], flush=True)
 
-        await asyncio.gather(*(one(seed) for seed in range(first, first + seeds)))
+        await asyncio.gather(*(run_seed(seed) for seed in range(first, first + seeds)))
         return verdicts
 
-    verdicts = asyncio.run(all_of_them())
+    verdicts = asyncio.run(run_all())
     broken = [verdict.seed for verdict in verdicts if verdict.breaches]
     print(
         f"seeds={len(verdicts)} broken={len(broken)} writes={sum(v.writes for v in verdicts)} "
--- a/lapispass/peers/coordination.py
+++ b/lapispass/peers/coordination.py
@@ -1,7 +1,7 @@
 """A client of a coordination service that speaks etcd's v3 API through its JSON gateway: one call, one
 answer, bounded.
 
-An answer that does not come is not a 'no': a transaction may have been carried out. `Unknown` says so;
+An answer that does not come is not a 'no': a transaction may have been carried out. `OutcomeUnknown` says so;
 whoever called reads what stands before doing anything else.
 """
 
@@ -19,34 +19,34 @@
 from lapispass.net.http import CONNECTION_ERRORS, HttpConnection, within
 from lapispass.net.limits import Limits
 
-ANSWER_BYTES = 16 << 20
-CALL_US = 1_000_000
+MAX_ANSWER_BYTES = 16 << 20
+CALL_TIMEOUT_US = 1_000_000
 
 
-class Unknown(Exception):
+class OutcomeUnknown(Exception):
     """No answer: the call may or may not have been carried out."""
 
 
-class Refused(Exception):
+class CallRejected(Exception):
     """The service has said no, or is not able to."""
 
 
-class Compacted(Exception):
+class RevisionCompacted(Exception):
     """A watch can't go on from its revision: what stands has to be read anew."""
 
 
-class Key(NamedTuple):
+class KeyValue(NamedTuple):
     """A key as the service has it."""
 
     value: bytes
-    created: int
-    changed: int
+    create_revision: int
+    mod_revision: int
 
 
-class Change(NamedTuple):
+class KeyChange(NamedTuple):
     key: str
-    at: int
-    now: Key | None  # none: deleted
+    revision: int
+    current: KeyValue | None  # none: deleted
 
 
 class Put(NamedTuple):
@@ -60,156 +60,171 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expect:
-    """A key must have been changed last, or made, at this revision; 0: must not be there."""
+class Condition:
+    """A key must have been changed last, or compare_creation, at this revision; 0: must not be there."""
 
     key: str
     revision: int
-    made: bool = False
+    compare_creation: bool = False
 
 
-class Result(NamedTuple):
+class TransactionResult(NamedTuple):
     succeeded: bool
     revision: int
 
 
-def b64(data: str | bytes) -> str:
+def encode_base64(data: str | bytes) -> str:
     return base64.b64encode(data.encode() if isinstance(data, str) else data).decode()
 
 
-def text(data: str) -> str:
+def decode_base64(data: str) -> str:
     return base64.b64decode(data).decode()
 
 
-def end_of(prefix: str) -> str:
+def range_end(prefix: str) -> str:
     """The first key behind all that begin so."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
-def key_of(kv: Mapping[str, Any]) -> Key:
-    return Key(
+def parse_key_value(kv: Mapping[str, Any]) -> KeyValue:
+    return KeyValue(
         base64.b64decode(kv.get("value", "")),
         int(kv.get("create_revision", 0)),
         int(kv.get("mod_revision", 0)),
     )
 
 
-class Service:
+class CoordinationClient:
     """One address. Calls go one after the other over a kept connection; a watch has its own."""
 
-    def __init__(self, address: str, limits: Limits | None = None, call_us: int = CALL_US) -> None:
-        self.address, self.call_us = address, call_us
+    def __init__(
+        self, address: str, limits: Limits | None = None, call_timeout_us: int = CALL_TIMEOUT_US
+    ) -> None:
+        self.address, self.call_timeout_us = address, call_timeout_us
         self.limits = limits or Limits()
-        self.link: HttpConnection | None = None
-        self.turn = asyncio.Lock()
+        self.connection: HttpConnection | None = None
+        self.lock = asyncio.Lock()
 
-    async def call(self, target: str, told: Mapping[str, Any]) -> dict[str, Any]:
-        """One call; `Refused` for an error that is an answer, `Unknown` for anything else."""
-        async with self.turn:
+    async def call(self, target: str, request: Mapping[str, Any]) -> dict[str, Any]:
+        """One call; `CallRejected` for an error that is an answer, `OutcomeUnknown` for anything else."""
+        async with self.lock:
             try:
-                exchange = self.exchange(target, msgspec.json.encode(told))
-                status, body = await within(self.call_us, exchange, self.limits.late_us)
+                exchange = self.exchange(target, msgspec.json.encode(request))
+                status, body = await within(self.call_timeout_us, exchange, self.limits.late_us)
                 answer = msgspec.json.decode(body)
             except (*CONNECTION_ERRORS, h11.LocalProtocolError, msgspec.MsgspecError) as error:
-                raise Unknown(f"{target}: {type(error).__name__} {error}") from None
+                raise OutcomeUnknown(f"{target}: {type(error).__name__} {error}") from None
         if status != 200 or not isinstance(answer, dict):
-            raise Refused(f"{target}: {status} {str(answer)[:200]}")
+            raise CallRejected(f"{target}: {status} {str(answer)[:200]}")
         return answer
 
     async def exchange(self, target: str, body: bytes) -> tuple[int, bytes]:
         """A call over the kept connection, or a new one: status and body of its answer."""
-        link, self.link = self.link, None
+        connection, self.connection = self.connection, None
         try:
-            if link is not None and not link.usable:
-                link.close()  # ended by the service: our half of it would stay open
-                link = None
-            if link is None:
-                link = await HttpConnection.open(self.address, self.limits)
-            await link.send("POST", target, body, [("Content-Type", "application/json")])
-            status = await link.answer()
-            answer = await link.body(ANSWER_BYTES)
-            if link.start_next_call():
-                self.link = link
+            if connection is not None and not connection.usable:
+                connection.close()  # ended by the service: our half of it would stay open
+                connection = None
+            if connection is None:
+                connection = await HttpConnection.open(self.address, self.limits)
+            await connection.send("POST", target, body, [("Content-Type", "application/json")])
+            status = await connection.answer()
+            answer = await connection.body(MAX_ANSWER_BYTES)
+            if connection.start_next_call():
+                self.connection = connection
             return status, answer
         finally:
-            if link is not None and self.link is not link:
-                link.close()
+            if connection is not None and self.connection is not connection:
+                connection.close()
 
-    async def read(self, prefix: str) -> tuple[int, dict[str, Key]]:
+    async def read_prefix(self, prefix: str) -> tuple[int, dict[str, KeyValue]]:
         """All keys below a prefix, at one revision."""
-        answer = await self.call("/v3/kv/range", {"key": b64(prefix), "range_end": b64(end_of(prefix))})
+        answer = await self.call(
+            "/v3/kv/range", {"key": encode_base64(prefix), "range_end": encode_base64(range_end(prefix))}
+        )
         return int(answer["header"]["revision"]), {
-            text(kv["key"]): key_of(kv) for kv in answer.get("kvs", ())
+            decode_base64(kv["key"]): parse_key_value(kv) for kv in answer.get("kvs", ())
         }
 
-    async def swap(self, expect: Iterable[Expect], steps: Iterable[Put | Delete]) -> Result:
-        """Compare and swap: all steps at one revision, or none."""
+    async def compare_and_swap(
+        self, conditions: Iterable[Condition], operations: Iterable[Put | Delete]
+    ) -> TransactionResult:
+        """Compare and swap: all operations at one revision, or none."""
         compare = [
             {
-                "key": b64(one.key),
+                "key": encode_base64(condition.key),
                 "result": "EQUAL",
                 **(
-                    {"target": "CREATE", "create_revision": str(one.revision)}
-                    if one.made
-                    else {"target": "MOD", "mod_revision": str(one.revision)}
+                    {"target": "CREATE", "create_revision": str(condition.revision)}
+                    if condition.compare_creation
+                    else {"target": "MOD", "mod_revision": str(condition.revision)}
                 ),
             }
-            for one in expect
+            for condition in conditions
         ]
         success: list[dict[str, Any]] = []
-        for step in steps:
-            match step:
+        for operation in operations:
+            match operation:
                 case Put(key, value, lease):
                     success.append(
-                        {"request_put": {"key": b64(key), "value": b64(value), "lease": str(lease)}}
+                        {
+                            "request_put": {
+                                "key": encode_base64(key),
+                                "value": encode_base64(value),
+                                "lease": str(lease),
+                            }
+                        }
                     )
                 case Delete(key):
-                    success.append({"request_delete_range": {"key": b64(key)}})
+                    success.append({"request_delete_range": {"key": encode_base64(key)}})
         answer = await self.call("/v3/kv/txn", {"compare": compare, "success": success})
-        return Result(bool(answer.get("succeeded")), int(answer["header"]["revision"]))
+        return TransactionResult(bool(answer.get("succeeded")), int(answer["header"]["revision"]))
 
-    async def grant(self, ttl_s: int) -> int:
+    async def grant_lease(self, ttl_s: int) -> int:
         return int((await self.call("/v3/lease/grant", {"TTL": str(ttl_s), "ID": "0"}))["ID"])
 
-    async def keep(self, lease: int) -> int:
+    async def renew_lease(self, lease: int) -> int:
         """Renews; what it lasts, us, 0 where the service does not know it."""
         answer = await self.call("/v3/lease/keepalive", {"ID": str(lease)})
         return int(answer.get("result", {}).get("TTL", 0)) * 1_000_000
 
-    async def revoke(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         await self.call("/v3/lease/revoke", {"ID": str(lease)})
 
-    async def watch(self, prefix: str, revision: int, quiet_us: int) -> AsyncIterator[list[Change]]:
-        """Changes from a revision on; an empty list now and then. `Compacted` where they are gone, else
-        `Unknown`."""
-        link = None
+    async def watch(self, prefix: str, revision: int, idle_us: int) -> AsyncIterator[list[KeyChange]]:
+        """Yields the changes below a prefix from a revision on; an empty list for a message without changes.
+
+        Raises `RevisionCompacted` if the service no longer has the changes from that revision on, and
+        `OutcomeUnknown` if the watch ends for another reason.
+        """
+        connection = None
         try:
-            link = await HttpConnection.open(self.address, self.limits)
+            connection = await HttpConnection.open(self.address, self.limits)
             create = {
-                "key": b64(prefix),
-                "range_end": b64(end_of(prefix)),
+                "key": encode_base64(prefix),
+                "range_end": encode_base64(range_end(prefix)),
                 "start_revision": str(revision),
             }
-            begin = self.begin_watch(link, msgspec.json.encode({"create_request": create}))
-            if await within(self.call_us, begin, self.limits.late_us) != 200:
-                raise Unknown("watch: refused")
-            rest = bytearray()
-            while piece := await link.read_chunk():
-                rest += piece
-                if len(rest) > ANSWER_BYTES:
-                    raise Unknown("watch: a line without an end")
-                while (place := rest.find(b"\n")) >= 0:
-                    told = msgspec.json.decode(bytes(rest[:place]))["result"]
-                    del rest[: place + 1]
-                    if told.get("canceled"):
-                        raise Compacted(str(told.get("compact_revision", "")))
+            opening = self.request_watch(connection, msgspec.json.encode({"create_request": create}))
+            if await within(self.call_timeout_us, opening, self.limits.late_us) != 200:
+                raise OutcomeUnknown("watch: refused")
+            unparsed = bytearray()
+            while chunk := await connection.read_chunk():
+                unparsed += chunk
+                if len(unparsed) > MAX_ANSWER_BYTES:
+                    raise OutcomeUnknown("watch: a line without an end")
+                while (line_end := unparsed.find(b"\n")) >= 0:
+                    message = msgspec.json.decode(bytes(unparsed[:line_end]))["result"]
+                    del unparsed[: line_end + 1]
+                    if message.get("canceled"):
+                        raise RevisionCompacted(str(message.get("compact_revision", "")))
                     yield [
-                        Change(
-                            text(event["kv"]["key"]),
+                        KeyChange(
+                            decode_base64(event["kv"]["key"]),
                             int(event["kv"]["mod_revision"]),
-                            None if event.get("type") == "DELETE" else key_of(event["kv"]),
+                            None if event.get("type") == "DELETE" else parse_key_value(event["kv"]),
                         )
-                        for event in told.get("events", ())
+                        for event in message.get("events", ())
                     ]
         except (
             *CONNECTION_ERRORS,
@@ -218,18 +233,18 @@
             KeyError,
             TypeError,
         ) as error:
-            raise Unknown(f"watch: {type(error).__name__} {error}") from None
+            raise OutcomeUnknown(f"watch: {type(error).__name__} {error}") from None
         finally:
-            if link is not None:
-                link.close()
+            if connection is not None:
+                connection.close()
 
     @staticmethod
-    async def begin_watch(link: HttpConnection, body: bytes) -> int:
+    async def request_watch(connection: HttpConnection, body: bytes) -> int:
         """Asks for a watch; the status of the answer."""
-        await link.send("POST", "/v3/watch", body)
-        return await link.answer()
+        await connection.send("POST", "/v3/watch", body)
+        return await connection.answer()
 
     def close(self) -> None:
-        if self.link is not None:
-            self.link.close()
-            self.link = None
+        if self.connection is not None:
+            self.connection.close()
+            self.connection = None
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -11,7 +11,7 @@
 from lapispass.net.counters import Counters
 from lapispass.net.log import PartLogger
 from lapispass.peers import records
-from lapispass.peers.coordination import Expect, Put, Refused, Service, Unknown
+from lapispass.peers.coordination import CallRejected, Condition, CoordinationClient, OutcomeUnknown, Put
 
 
 class OwnLease:
@@ -19,70 +19,70 @@
 
     def __init__(
         self,
-        service: Service,
+        service: CoordinationClient,
         name: str,
         weight: float,
         ttl_s: int,
         clock: Clock,
         counters: Counters,
         log: PartLogger,
-        ended: Callable[[str], None],
+        on_end: Callable[[str], None],
     ) -> None:
         self.service, self.name, self.weight, self.ttl_s = service, name, weight, ttl_s
-        self.clock, self.counters, self.log, self.ended = clock, counters, log, ended
+        self.clock, self.counters, self.log, self.on_end = clock, counters, log, on_end
         self.boot = secrets.token_hex(4)
         self.session = Session(margin_us=ttl_s * 100_000)
-        self.made = 0  # revision at which this life's key was made
+        self.key_revision = 0  # revision at which this life's key was made
 
     @property
     def holder(self) -> str:
         """Its name as the holder of slices: another life is another holder."""
         return f"{self.name}/{self.boot}"
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether anything may be published now."""
         return self.session.is_valid(self.clock.now())
 
-    def guard(self) -> Expect:
+    def key_condition(self) -> Condition:
         """What a transaction of this life expects: that its key is there."""
-        return Expect(records.member_key(self.name), self.made, True)
+        return Condition(records.member_key(self.name), self.key_revision, True)
 
-    async def keep(self) -> None:
+    async def keep_alive(self) -> None:
         """Grants, renews, and begins another life where a lease has run out."""
         while True:
-            sent = self.clock.now()
+            sent_us = self.clock.now()
             try:
                 if self.session.lease_id:
-                    await self.renew(sent)
+                    await self.renew_session(sent_us)
                 else:
-                    await self.begin(sent)
-            except (Unknown, Refused) as error:
+                    await self.start_session(sent_us)
+            except (OutcomeUnknown, CallRejected) as error:
                 self.counters["peers.calls_failed"] += 1
                 self.log.rate_limited("service not reached", why=error)
                 if self.session.lease_id and self.clock.now() >= self.session.valid_until:
-                    self.ended("it could not be renewed")
-            wait = self.ttl_s / 5 if self.session.lease_id else self.ttl_s / 10
-            await asyncio.sleep(wait)
+                    self.on_end("it could not be renewed")
+            delay_s = self.ttl_s / 5 if self.session.lease_id else self.ttl_s / 10
+            await asyncio.sleep(delay_s)
 
-    async def begin(self, sent: int) -> None:
+    async def start_session(self, sent_us: int) -> None:
         """Has a lease granted, and the key made, unless an earlier life's key is still there."""
-        lease = await self.service.grant(self.ttl_s)
-        life = Put(records.member_key(self.name), records.encode_life(self.boot, self.weight), lease)
-        result = await self.service.swap([Expect(life.key, 0)], [life])
+        lease = await self.service.grant_lease(self.ttl_s)
+        key = Put(records.member_key(self.name), records.encode_member(self.boot, self.weight), lease)
+        result = await self.service.compare_and_swap([Condition(key.key, 0)], [key])
         if not result.succeeded:
-            await self.service.revoke(lease)
+            await self.service.revoke_lease(lease)
             return
-        self.made = result.revision
-        self.session.granted(sent, lease, self.ttl_s * 1_000_000)
+        self.key_revision = result.revision
+        self.session.granted(sent_us, lease, self.ttl_s * 1_000_000)
         self.log.say("session begun", holder=self.holder)
 
-    async def renew(self, sent: int) -> None:
+    async def renew_session(self, sent_us: int) -> None:
         """Has the lease renewed; it may be over at the service."""
-        left = await self.service.keep(self.session.lease_id)
-        if not self.session.renewed(sent, self.session.lease_id, left):
-            self.ended("the service knows it no more")
+        ttl_us = await self.service.renew_lease(self.session.lease_id)
+        if not self.session.renewed(sent_us, self.session.lease_id, ttl_us):
+            self.on_end("the service knows it no more")
 
-    def give_up(self) -> None:
+    def begin_incarnation(self) -> None:
         """This life is over; the next one has a name of its own."""
         self.session.end()
         self.boot = secrets.token_hex(4)
--- a/lapispass/peers/records.py
+++ b/lapispass/peers/records.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from lapispass.core.takeover import Record
-from lapispass.peers.coordination import Key
+from lapispass.peers.coordination import KeyValue
 
 ROOT = "/lapispass/"
-SLICES = ROOT + "slices/"
+SLICE_PREFIX = ROOT + "slices/"
 
 
 class StoredSlice(msgspec.Struct, frozen=True):
@@ -21,7 +21,7 @@
     shut: bool
 
 
-class Life(msgspec.Struct, frozen=True):
+class StoredMember(msgspec.Struct, frozen=True):
     """A controller's key: it ends with its lease."""
 
     boot: str
@@ -29,7 +29,7 @@
 
 
 def slice_key(number: int) -> str:
-    return f"{SLICES}{number:06d}"
+    return f"{SLICE_PREFIX}{number:06d}"
 
 
 def member_key(name: str) -> str:
@@ -40,12 +40,12 @@
     return f"{ROOT}answers/{name}"
 
 
-def out_key(controller_and_node: str) -> str:
+def withdrawal_key(controller_and_node: str) -> str:
     """Of a node that a controller shuts out; `controller/node`."""
     return f"{ROOT}out/{controller_and_node}"
 
 
-def parsed(key: str) -> tuple[str, str]:
+def parse_key(key: str) -> tuple[str, str]:
     """A key's kind, and what it is about."""
     kind, _, name = key.removeprefix(ROOT).partition("/")
     return kind, name
@@ -57,17 +57,17 @@
     )
 
 
-def decode_slice(key: Key) -> Record:
+def decode_slice(kv: KeyValue) -> Record:
     """A slice's record, at the revision of its last change."""
-    stored = msgspec.json.decode(key.value, type=StoredSlice)
-    return Record(stored.epoch, stored.holder, stored.owner, stored.share, stored.shut, key.changed)
+    stored = msgspec.json.decode(kv.value, type=StoredSlice)
+    return Record(stored.epoch, stored.holder, stored.owner, stored.share, stored.shut, kv.mod_revision)
 
 
-def encode_life(boot: str, weight: float) -> bytes:
-    return msgspec.json.encode(Life(boot, weight))
+def encode_member(boot: str, weight: float) -> bytes:
+    return msgspec.json.encode(StoredMember(boot, weight))
 
 
-def decode_life(key: Key) -> tuple[float, str]:
+def decode_member(kv: KeyValue) -> tuple[float, str]:
     """A controller's weight and boot."""
-    life = msgspec.json.decode(key.value, type=Life)
-    return life.weight, life.boot
+    member = msgspec.json.decode(kv.value, type=StoredMember)
+    return member.weight, member.boot
--- a/lapispass/standins/coordination.py
+++ b/lapispass/standins/coordination.py
@@ -20,12 +20,12 @@
 from lapispass.standins.party import Party, answer, asked
 
 
-class Kv(NamedTuple):
+class KeyValue(NamedTuple):
     """A key as it stands."""
 
     value: bytes
-    created: int
-    changed: int
+    create_revision: int
+    mod_revision: int
     version: int
     lease: int
 
@@ -35,7 +35,7 @@
 
     revision: int
     key: bytes
-    kv: Kv | None
+    kv: KeyValue | None
 
 
 @dataclass
@@ -43,13 +43,13 @@
     """The service's memory: pure, told the time."""
 
     revision: int = 1
-    keys: dict[bytes, Kv] = field(default_factory=dict)
+    keys: dict[bytes, KeyValue] = field(default_factory=dict)
     leases: dict[int, tuple[int, int]] = field(default_factory=dict)  # id: ttl in us, ends at
     history: list[Change] = field(default_factory=list)
     compacted: int = 0
     next_lease: int = 1000
 
-    def range(self, key: bytes, end: bytes) -> list[tuple[bytes, Kv]]:
+    def range(self, key: bytes, end: bytes) -> list[tuple[bytes, KeyValue]]:
         if not end:
             return [(key, self.keys[key])] if key in self.keys else []
         return [
@@ -60,8 +60,12 @@
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
         old = self.keys.get(key)
-        kv = Kv(
-            value, old.created if old else self.revision, self.revision, old.version + 1 if old else 1, lease
+        kv = KeyValue(
+            value,
+            old.create_revision if old else self.revision,
+            self.revision,
+            old.version + 1 if old else 1,
+            lease,
         )
         self.keys[key] = kv
         self.history.append(Change(self.revision, key, kv))
@@ -70,55 +74,63 @@
         del self.keys[key]
         self.history.append(Change(self.revision, key, None))
 
-    def txn(self, told: dict[str, Any]) -> dict[str, Any]:
+    def txn(self, request: dict[str, Any]) -> dict[str, Any]:
         """All or nothing, at one revision."""
-        succeeded = all(self._holds(compare) for compare in told.get("compare", ()))
-        steps = told.get("success" if succeeded else "failure", ())
-        leases = [int(step["request_put"].get("lease", 0)) for step in steps if "request_put" in step]
+        succeeded = all(self._is_met(compare) for compare in request.get("compare", ()))
+        operations = request.get("success" if succeeded else "failure", ())
+        leases = [
+            int(operation["request_put"].get("lease", 0))
+            for operation in operations
+            if "request_put" in operation
+        ]
         if any(lease and lease not in self.leases for lease in leases):
             raise KeyError("requested lease not found")
-        writes = any("request_put" in step or "request_delete_range" in step for step in steps)
+        writes = any(
+            "request_put" in operation or "request_delete_range" in operation for operation in operations
+        )
         self.revision += writes
         responses: list[dict[str, Any]] = []
-        for step in steps:
-            if put := step.get("request_put"):
-                self._put(unb64(put["key"]), unb64(put.get("value", "")), int(put.get("lease", 0)))
+        for operation in operations:
+            if put := operation.get("request_put"):
+                self._put(
+                    decode_base64(put["key"]), decode_base64(put.get("value", "")), int(put.get("lease", 0))
+                )
                 responses.append({"response_put": {}})
-            elif delete := step.get("request_delete_range"):
-                found = self.range(unb64(delete["key"]), unb64(delete.get("range_end", "")))
+            elif delete := operation.get("request_delete_range"):
+                found = self.range(decode_base64(delete["key"]), decode_base64(delete.get("range_end", "")))
                 for key, _ in found:
                     self._delete(key)
                 responses.append({"response_delete_range": {"deleted": str(len(found))}})
-            elif wanted := step.get("request_range"):
-                responses.append({"response_range": self.answer_range(wanted)})
+            elif range_request := operation.get("request_range"):
+                responses.append({"response_range": self.answer_range(range_request)})
         return {"header": self.header(), "succeeded": succeeded, "responses": responses}
 
-    def _holds(self, compare: dict[str, Any]) -> bool:
-        kv = self.keys.get(unb64(compare["key"]))
+    def _is_met(self, compare: dict[str, Any]) -> bool:
+        kv = self.keys.get(decode_base64(compare["key"]))
         match compare.get("target", "VERSION"):
             case "MOD":
-                mine, theirs = kv.changed if kv else 0, int(compare.get("mod_revision", 0))
+                actual, expected = kv.mod_revision if kv else 0, int(compare.get("mod_revision", 0))
             case "CREATE":
-                mine, theirs = kv.created if kv else 0, int(compare.get("create_revision", 0))
+                actual, expected = kv.create_revision if kv else 0, int(compare.get("create_revision", 0))
             case "VALUE":
-                return (kv.value if kv else b"") == unb64(compare.get("value", ""))
+                return (kv.value if kv else b"") == decode_base64(compare.get("value", ""))
             case _:
-                mine, theirs = kv.version if kv else 0, int(compare.get("version", 0))
+                actual, expected = kv.version if kv else 0, int(compare.get("version", 0))
         return {
-            "EQUAL": mine == theirs,
-            "GREATER": mine > theirs,
-            "LESS": mine < theirs,
-            "NOT_EQUAL": mine != theirs,
+            "EQUAL": actual == expected,
+            "GREATER": actual > expected,
+            "LESS": actual < expected,
+            "NOT_EQUAL": actual != expected,
         }[compare.get("result", "EQUAL")]
 
     def header(self) -> dict[str, str]:
         return {"revision": str(self.revision)}
 
-    def answer_range(self, told: dict[str, Any]) -> dict[str, Any]:
-        found = self.range(unb64(told["key"]), unb64(told.get("range_end", "")))
+    def answer_range(self, request: dict[str, Any]) -> dict[str, Any]:
+        found = self.range(decode_base64(request["key"]), decode_base64(request.get("range_end", "")))
         return {
             "header": self.header(),
-            "kvs": [told_kv(key, kv) for key, kv in found],
+            "kvs": [encode_key_value(key, kv) for key, kv in found],
             "count": str(len(found)),
         }
 
@@ -127,7 +139,7 @@
         self.leases[self.next_lease] = ttl_s * 1_000_000, now + ttl_s * 1_000_000
         return self.next_lease
 
-    def keep(self, lease: int, now: int) -> int:
+    def renew(self, lease: int, now: int) -> int:
         """What is left, in seconds; 0 where there is no such lease."""
         if lease not in self.leases:
             return 0
@@ -162,20 +174,20 @@
         ]
 
 
-def unb64(text: str) -> bytes:
+def decode_base64(text: str) -> bytes:
     return base64.b64decode(text)
 
 
-def b64(data: bytes) -> str:
+def encode_base64(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
-def told_kv(key: bytes, kv: Kv) -> dict[str, Any]:
+def encode_key_value(key: bytes, kv: KeyValue) -> dict[str, Any]:
     return {
-        "key": b64(key),
-        "value": b64(kv.value),
-        "create_revision": str(kv.created),
-        "mod_revision": str(kv.changed),
+        "key": encode_base64(key),
+        "value": encode_base64(kv.value),
+        "create_revision": str(kv.create_revision),
+        "mod_revision": str(kv.mod_revision),
         "version": str(kv.version),
         "lease": str(kv.lease),
     }
@@ -192,7 +204,7 @@
     frozen: bool = False  # its time stands still: no lease ends
 
 
-class Coordination(Party):
+class CoordinationServer(Party):
     """The service on loopback."""
 
     def __init__(self) -> None:
@@ -201,56 +213,56 @@
         self.changed = asyncio.Event()
         self.frozen_at = 0
         self.calls = 0
-        self.ticking: asyncio.Task[None] | None = None
+        self.expiry_task: asyncio.Task[None] | None = None
 
     async def start(self, port: int = 0) -> None:
         await super().start(port)
-        self.ticking = asyncio.create_task(self.tick())
+        self.expiry_task = asyncio.create_task(self.expire_leases())
 
     def stop(self) -> None:
         super().stop()
-        if self.ticking is not None:
-            self.ticking.cancel()
+        if self.expiry_task is not None:
+            self.expiry_task.cancel()
 
-    async def tick(self) -> None:
+    async def expire_leases(self) -> None:
         while True:
             await asyncio.sleep(0.02)
             if not self.faults.frozen:
                 before = self.state.revision
                 self.state.expire(clock_us())
                 if self.state.revision != before:
-                    self.wake()
+                    self.wake_watches()
 
-    def wake(self) -> None:
+    def wake_watches(self) -> None:
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        state = h11.Connection(h11.SERVER)
+        connection = h11.Connection(h11.SERVER)
         while True:
-            _, target, body = await asked(reader, state)
+            _, target, body = await asked(reader, connection)
             self.calls += 1
             if self.faults.slow_s:
                 await asyncio.sleep(self.faults.slow_s)
             while self.faults.silent:
                 await asyncio.sleep(0.02)
             if self.faults.refuse:
-                writer.write(answer(state, 503, '{"error":"etcdserver: no leader","code":14}'))
-                state.start_next_cycle()
+                writer.write(answer(connection, 503, '{"error":"etcdserver: no leader","code":14}'))
+                connection.start_next_cycle()
                 continue
-            told = json.loads(body or b"{}")
+            request = json.loads(body or b"{}")
             if target == "/v3/watch":
-                await self.watch(state, reader, writer, told["create_request"])
+                await self.watch(connection, reader, writer, request["create_request"])
                 return
-            status, reply = self.call(target, told)
+            status, reply = self.answer_call(target, request)
             if target == "/v3/kv/txn" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return
-            writer.write(answer(state, status, json.dumps(reply)))
+            writer.write(answer(connection, status, json.dumps(reply)))
             await writer.drain()
-            state.start_next_cycle()
+            connection.start_next_cycle()
 
-    def call(self, target: str, told: dict[str, Any]) -> tuple[int, dict[str, Any]]:
+    def answer_call(self, target: str, request: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         """One call; its answer."""
         state, now = self.state, clock_us()
         if not self.faults.frozen:
@@ -259,55 +271,56 @@
         try:
             match target:
                 case "/v3/kv/range":
-                    return 200, state.answer_range(told)
+                    return 200, state.answer_range(request)
                 case "/v3/kv/txn":
-                    return 200, state.txn(told)
+                    return 200, state.txn(request)
                 case "/v3/lease/grant":
-                    lease = state.grant(int(told["TTL"]), now)
-                    return 200, {"header": state.header(), "ID": str(lease), "TTL": str(told["TTL"])}
+                    lease = state.grant(int(request["TTL"]), now)
+                    return 200, {"header": state.header(), "ID": str(lease), "TTL": str(request["TTL"])}
                 case "/v3/lease/keepalive":
-                    left = state.keep(int(told["ID"]), now)
+                    ttl_s = state.renew(int(request["ID"]), now)
                     return 200, {
-                        "result": {"header": state.header(), "ID": str(told["ID"]), "TTL": str(left)}
+                        "result": {"header": state.header(), "ID": str(request["ID"]), "TTL": str(ttl_s)}
                     }
                 case "/v3/lease/revoke":
-                    state.revoke(int(told["ID"]))
+                    state.revoke(int(request["ID"]))
                     return 200, {"header": state.header()}
         except KeyError as error:
             return 404, {"error": f"etcdserver: {error.args[0]}", "code": 5}
         finally:
             if state.revision != before:
-                self.wake()
+                self.wake_watches()
         return 404, {"error": "Not Found", "code": 5}
 
     async def watch(
         self,
-        state: h11.Connection,
+        connection: h11.Connection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        told: dict[str, Any],
+        request: dict[str, Any],
     ) -> None:
         """Changes from a revision on, one JSON object a line; ends where they are compacted away."""
-        key, end = unb64(told["key"]), unb64(told.get("range_end", ""))
-        following = int(told.get("start_revision", 0)) or self.state.revision + 1
-        writer.write(answer(state, 200, None))
+        key, end = decode_base64(request["key"]), decode_base64(request.get("range_end", ""))
+        next_revision = int(request.get("start_revision", 0)) or self.state.revision + 1
+        writer.write(answer(connection, 200, None))
 
-        def say(result: dict[str, Any]) -> None:
+        def send_result(result: dict[str, Any]) -> None:
             line = json.dumps({"result": {"header": self.state.header(), "watch_id": "0", **result}}) + "\n"
-            writer.write(state.send(h11.Data(data=line.encode())) or b"")
+            writer.write(connection.send(h11.Data(data=line.encode())) or b"")
 
-        say({"created": True})
+        send_result({"created": True})
         while not reader.at_eof() and not writer.is_closing():
             changed = self.changed
-            if following <= self.state.compacted:
-                say({"canceled": True, "compact_revision": str(self.state.compacted)})
+            if next_revision <= self.state.compacted:
+                send_result({"canceled": True, "compact_revision": str(self.state.compacted)})
                 return
-            found = [] if self.faults.silent else self.state.since(following, key, end)
+            found = [] if self.faults.silent else self.state.since(next_revision, key, end)
             if found:
-                say({"events": [{"kv": told_kv(change.key, change.kv)} if change.kv else {
-                    "type": "DELETE", "kv": {"key": b64(change.key), "mod_revision": str(change.revision)}}
+                send_result({"events": [{"kv": encode_key_value(change.key, change.kv)} if change.kv else {
+                    "type": "DELETE",
+                    "kv": {"key": encode_base64(change.key), "mod_revision": str(change.revision)}}
                     for change in found]})  # fmt: skip
-                following = found[-1].revision + 1
+                next_revision = found[-1].revision + 1
                 await writer.drain()
             try:
                 await asyncio.wait_for(changed.wait(), 0.1)
--- a/lapispass/store/assignments.py
+++ b/lapispass/store/assignments.py
@@ -16,20 +16,20 @@
 
 from lapispass import interface
 
-SCHEMA = 1
+SCHEMA_VERSION = 1
 
 
-class Spoilt(Exception):
+class CorruptStore(Exception):
     """The file can't be believed; the text says why in one line."""
 
 
-class NotWritten(Exception):
+class StoreUnavailable(Exception):
     """The disk fails for now: nothing of the transaction stands, and it may be tried again."""
 
 
 # What may pass: a full disk, an error of input or output, memory. A file that is corrupt stays so, and one
 # that is locked is another controller's.
-MOMENTARY = (
+TRANSIENT_ERRORS = (
     apsw.CantOpenError,
     apsw.FullError,
     apsw.IOError,
@@ -39,7 +39,7 @@
 )
 
 
-def check_of(*words: object) -> int:
+def fingerprint(*words: object) -> int:
     """Over a row's words; SQLite holds signed numbers."""
     return xxhash.xxh3_64_intdigest("\0".join(str(word) for word in words).encode()) >> 1
 
@@ -52,27 +52,27 @@
         try:
             self.file = apsw.Connection(self.path)
         except apsw.Error as error:
-            kind = NotWritten if isinstance(error, MOMENTARY) else Spoilt
+            kind = StoreUnavailable if isinstance(error, TRANSIENT_ERRORS) else CorruptStore
             raise kind(f"{self.path}: {type(error).__name__}: {error}") from None
         try:
             self.file.set_busy_timeout(1000)
             # An exclusive lock: a second controller on the same file is refused, not mixed in.
-            for line in (
+            for pragma in (
                 "PRAGMA locking_mode=EXCLUSIVE",
                 "PRAGMA journal_mode=WAL",
                 "PRAGMA synchronous=FULL",
             ):
-                self.file.execute(line).fetchall()
+                self.file.execute(pragma).fetchall()
             self.file.execute("BEGIN IMMEDIATE; COMMIT")
-            self._open()
-        except MOMENTARY as error:
+            self._create_or_verify()
+        except TRANSIENT_ERRORS as error:
             self.close()
-            raise NotWritten(f"{self.path}: {type(error).__name__}: {error}") from None
+            raise StoreUnavailable(f"{self.path}: {type(error).__name__}: {error}") from None
         except apsw.Error as error:
-            raise Spoilt(f"{self.path}: {type(error).__name__}: {error}") from None
+            raise CorruptStore(f"{self.path}: {type(error).__name__}: {error}") from None
         self.turn = self._read_turn()
 
-    def _open(self) -> None:
+    def _create_or_verify(self) -> None:
         """Makes a new file, or checks an old one from end to end."""
         version = self.file.pragma("user_version")
         tables = self.file.execute("SELECT count(*) FROM sqlite_master").fetchall()[0][0]
@@ -83,36 +83,38 @@
                     " sum INTEGER NOT NULL) STRICT;"
                     "CREATE TABLE fact (name TEXT PRIMARY KEY, value INTEGER NOT NULL,"
                     " sum INTEGER NOT NULL) STRICT;"
-                    f"PRAGMA user_version={SCHEMA}"
+                    f"PRAGMA user_version={SCHEMA_VERSION}"
                 )
-                self._fact("turn", 0)
-                self._fact("slices", self.slices)
+                self._write_fact("turn", 0)
+                self._write_fact("slices", self.slices)
             return
-        if version != SCHEMA:
-            raise Spoilt(f"{self.path}: schema {version}, this program has {SCHEMA}")
-        found = self.file.execute("PRAGMA quick_check(1)").fetchall()[0][0]
-        if found != "ok":
-            raise Spoilt(f"{self.path}: {found}")
+        if version != SCHEMA_VERSION:
+            raise CorruptStore(f"{self.path}: schema {version}, this program has {SCHEMA_VERSION}")
+        check_result = self.file.execute("PRAGMA quick_check(1)").fetchall()[0][0]
+        if check_result != "ok":
+            raise CorruptStore(f"{self.path}: {check_result}")
         facts = {}
-        for name, value, given in self.file.execute("SELECT name, value, sum FROM fact"):
-            if given != check_of(name, value):
-                raise Spoilt(f"{self.path}: fact {name!r} is not as it was written")
+        for name, value, stored_sum in self.file.execute("SELECT name, value, sum FROM fact"):
+            if stored_sum != fingerprint(name, value):
+                raise CorruptStore(f"{self.path}: fact {name!r} is not as it was written")
             facts[name] = value
         if facts.keys() != {"turn", "slices"}:
-            raise Spoilt(f"{self.path}: facts are missing")
+            raise CorruptStore(f"{self.path}: facts are missing")
         if facts["slices"] != self.slices:
-            raise Spoilt(f"{self.path}: holds {facts['slices']} slices, the operator file says {self.slices}")
-        for number, owner, turn, given in self.file.execute("SELECT slice, owner, turn, sum FROM line"):
+            raise CorruptStore(
+                f"{self.path}: holds {facts['slices']} slices, the operator file says {self.slices}"
+            )
+        for number, owner, turn, stored_sum in self.file.execute("SELECT slice, owner, turn, sum FROM line"):
             if (
-                given != check_of(number, owner, turn)
+                stored_sum != fingerprint(number, owner, turn)
                 or not 0 <= number < self.slices
                 or turn > facts["turn"]
             ):
-                raise Spoilt(f"{self.path}: slice {number} is not as it was written")
+                raise CorruptStore(f"{self.path}: slice {number} is not as it was written")
 
-    def _fact(self, name: str, value: int) -> None:
+    def _write_fact(self, name: str, value: int) -> None:
         self.file.execute(
-            "INSERT OR REPLACE INTO fact VALUES (?, ?, ?)", (name, value, check_of(name, value))
+            "INSERT OR REPLACE INTO fact VALUES (?, ?, ?)", (name, value, fingerprint(name, value))
         )
 
     def _read_turn(self) -> int:
@@ -124,35 +126,35 @@
 
     def commit(self, orders: Iterable[interface.Order]) -> bool:
         """The lines that a turn sets, in one transaction; False where it sets none. On return they are on
-        the disk. Raises `NotWritten` where the disk fails for now."""
-        lines: dict[int, str | None] = {}
+        the disk. Raises `StoreUnavailable` where the disk fails for now."""
+        owners: dict[int, str | None] = {}
         for order in orders:
             match order:
                 case interface.SetTableEntry(number, backend, _):
-                    lines[number] = str(backend)
+                    owners[number] = str(backend)
                 case interface.ClearTable(number):
-                    lines[number] = None
+                    owners[number] = None
                 case _:
                     pass
-        if not lines:
+        if not owners:
             return False
         turn = self.turn + 1
         try:
-            self._write(lines, turn)
-        except MOMENTARY as error:
+            self._write(owners, turn)
+        except TRANSIENT_ERRORS as error:
             self._roll_back()
-            raise NotWritten(f"{self.path}: {type(error).__name__}: {error}") from None
+            raise StoreUnavailable(f"{self.path}: {type(error).__name__}: {error}") from None
         self.turn = turn
         return True
 
-    def _write(self, lines: dict[int, str | None], turn: int) -> None:
+    def _write(self, owners: dict[int, str | None], turn: int) -> None:
         with self.file:
-            for number, owner in lines.items():
+            for number, owner in owners.items():
                 self.file.execute(
                     "INSERT OR REPLACE INTO line VALUES (?, ?, ?, ?)",
-                    (number, owner, turn, check_of(number, owner, turn)),
+                    (number, owner, turn, fingerprint(number, owner, turn)),
                 )
-            self._fact("turn", turn)
+            self._write_fact("turn", turn)
 
     def _roll_back(self) -> None:
         """Ends a transaction that an error has left open."""
@@ -163,17 +165,19 @@
     def snapshot(self, path: str | Path) -> None:
         """A copy that is whole, while this one is in use."""
         target = apsw.Connection(str(path))
-        with target.backup("main", self.file, "main") as copy:
-            copy.step()
+        with target.backup("main", self.file, "main") as backup:
+            backup.step()
         target.close()
 
     def compact(self) -> None:
-        """Folds the write-ahead log in, so that it does not grow. Raises `NotWritten` where that fails for
-        now; nothing is lost by it."""
+        """Moves the write-ahead log into the file and truncates it, so that it does not grow.
+
+        Raises `StoreUnavailable` if that fails for the moment; nothing is lost by it.
+        """
         try:
             self.file.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_TRUNCATE)
-        except MOMENTARY as error:
-            raise NotWritten(f"{self.path}: {type(error).__name__}: {error}") from None
+        except TRANSIENT_ERRORS as error:
+            raise StoreUnavailable(f"{self.path}: {type(error).__name__}: {error}") from None
 
     def close(self) -> None:
         """Closes the file; what was committed is on the disk, whatever this meets."""
--- a/lapispass/xds/host.py
+++ b/lapispass/xds/host.py
@@ -26,7 +26,7 @@
 from lapispass.operator.operator_pb2 import Node
 from lapispass.operator.read import BadFile, Source
 from lapispass.retry import RetryWindow, retry_blocking
-from lapispass.store.assignments import Assignments, NotWritten, Spoilt
+from lapispass.store.assignments import Assignments, CorruptStore, StoreUnavailable
 from lapispass.xds.xds_server import create_xds_server, load_tls_keys, tls_context
 
 STATES = {Node.READY: "ready", Node.DRAINING: "draining", Node.GONE: "gone"}
@@ -72,7 +72,7 @@
             self.store = retry_blocking(
                 lambda: Assignments(path, self.deployment.slices), self.may_retry_open, STORE_OPEN_RETRY
             )
-        except (Spoilt, NotWritten) as error:
+        except (CorruptStore, StoreUnavailable) as error:
             raise BadFile([source.at("alone.store_file", str(error))]) from None
         owners = self.store.owners()
         for number in range(self.deployment.slices):
@@ -82,7 +82,7 @@
 
     def may_retry_open(self, error: Exception) -> bool:
         """Whether opening the store may succeed at a further attempt."""
-        if not isinstance(error, NotWritten):
+        if not isinstance(error, StoreUnavailable):
             return False
         self.log.rate_limited("opening the store failed", why=error)
         return True
@@ -219,14 +219,14 @@
                     return
                 self.counters["host.commits"] += 1
                 break
-            except NotWritten as error:
+            except StoreUnavailable as error:
                 self.counters["host.commits_failed"] += 1
                 self.log.rate_limited("writing to the store failed", why=error)
             await backoff.wait()
         if self.store.turn % COMPACT_EVERY == 0:
             try:
                 self.store.compact()
-            except NotWritten as error:
+            except StoreUnavailable as error:
                 self.counters["host.compactions_failed"] += 1
                 self.log.rate_limited("compacting the store failed", why=error)
 
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -12,7 +12,7 @@
 from async_tests import ended, until
 from fleet import deployment
 
-from lapispass.cli.fronts import attach, joined
+from lapispass.cli.front_ends import attach, count_gates_as_proxies
 from lapispass.core.tables import slice_of
 from lapispass.gate.gate_server import GateServer
 from lapispass.gate.limits import Limits
@@ -204,7 +204,7 @@
             f"{self.extra}"
         )
         source = operator.read(file)
-        launch = joined(source)(
+        launch = count_gates_as_proxies(source)(
             Launch(
                 "n0",
                 "127.0.0.1:0",
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -27,10 +27,17 @@
 from lapispass.core.tables import slice_of
 from lapispass.core.takeover import NEVER_WRITTEN, Record, Takeover
 from lapispass.operator import read as operator
-from lapispass.peers.coordination import Compacted, Delete, Expect, Put, Service, Unknown
+from lapispass.peers.coordination import (
+    Condition,
+    CoordinationClient,
+    Delete,
+    OutcomeUnknown,
+    Put,
+    RevisionCompacted,
+)
 from lapispass.peers.host import SharedHost
 from lapispass.rules.held import Carried, Published, writes
-from lapispass.standins.coordination import Coordination
+from lapispass.standins.coordination import CoordinationServer
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import XdsClient
 
@@ -170,39 +177,44 @@
 
 
 async def test_the_client_reads_swaps_watches_and_says_what_it_does_not_know() -> None:
-    there = Coordination()
+    there = CoordinationServer()
     await there.start()
-    service = Service(there.address, call_us=300_000)
-    lease = await service.grant(1)
-    first = await service.swap([Expect("/a", 0)], [Put("/a", b"1", lease), Put("/b", b"x")])
-    assert first.succeeded and not (await service.swap([Expect("/a", 0)], [Put("/a", b"2")])).succeeded
-    assert (await service.swap([Expect("/a", first.revision, True)], [Put("/b", b"y")])).succeeded
-    revision, keys = await service.read("/")
+    service = CoordinationClient(there.address, call_timeout_us=300_000)
+    lease = await service.grant_lease(1)
+    first = await service.compare_and_swap([Condition("/a", 0)], [Put("/a", b"1", lease), Put("/b", b"x")])
+    assert (
+        first.succeeded
+        and not (await service.compare_and_swap([Condition("/a", 0)], [Put("/a", b"2")])).succeeded
+    )
+    assert (
+        await service.compare_and_swap([Condition("/a", first.revision, True)], [Put("/b", b"y")])
+    ).succeeded
+    revision, keys = await service.read_prefix("/")
     assert {key: kv.value for key, kv in keys.items()} == {"/a": b"1", "/b": b"y"}
     seen: list[Any] = []
 
     async def follow() -> None:
         async for changes in service.watch("/", first.revision, 0):
-            seen.extend((change.key, change.now and change.now.value) for change in changes)
+            seen.extend((change.key, change.current and change.current.value) for change in changes)
 
     following = asyncio.create_task(follow())
     await until(lambda: ("/b", b"y") in seen)
     await until(lambda: ("/a", None) in seen)  # its lease has ended
-    assert await service.keep(lease) == 0
+    assert await service.renew_lease(lease) == 0
     there.faults.lose_answers = 1
     try:
-        await service.swap([], [Put("/c", b"z")])
+        await service.compare_and_swap([], [Put("/c", b"z")])
         raise AssertionError("an answer came")
-    except Unknown:
+    except OutcomeUnknown:
         pass
-    assert (await service.read("/c"))[1]["/c"].value == b"z"  # carried out all the same
-    await service.swap([], [Delete("/c")])
+    assert (await service.read_prefix("/c"))[1]["/c"].value == b"z"  # carried out all the same
+    await service.compare_and_swap([], [Delete("/c")])
     there.state.compact(there.state.revision)
     try:
         async for _ in service.watch("/", 2, 0):
             pass
         raise AssertionError("not compacted")
-    except Compacted:
+    except RevisionCompacted:
         pass
     assert revision > 1
     following.cancel()
@@ -228,7 +240,7 @@
     """Some controllers and their service, in the test's loop."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self.service = path, Coordination()
+        self.path, self.service = path, CoordinationServer()
         self.hosts: dict[str, SharedHost] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.n0 = "READY"
@@ -258,7 +270,7 @@
 
     def acting(self) -> Counter[int]:
         return Counter(number for host in self.hosts.values() for number in host.takeover.acting
-                       if host.lease.holds())  # fmt: skip
+                       if host.lease.is_valid())  # fmt: skip
 
     def whole(self) -> bool:
         """Each slice is held by just one, and has an owner."""
@@ -392,16 +404,16 @@
     carried: list[Carried] = []
 
     def watched(host: SharedHost) -> None:
-        show = host.show
+        publish_changes = host.publish_changes
 
-        def shown(changes: Any, mark: int | None) -> None:
-            if mark is not None:
+        def shown(changes: Any, barrier: int | None) -> None:
+            if barrier is not None:
                 for change in changes:
                     if hasattr(change, "owner"):
                         published.append(Published(clock_us(), change.slice, change.owner))
-            show(changes, mark)
+            publish_changes(changes, barrier)
 
-        host.show = shown  # type: ignore[method-assign]
+        host.publish_changes = shown  # type: ignore[method-assign]
 
     async with shared(tmp_path, "a", "b") as stand:
         for number, owner in stand.hosts["a"].snapshot.owners.items():
--- a/tests/test_stream_timers.py
+++ b/tests/test_stream_timers.py
@@ -16,7 +16,7 @@
 from lapispass.gate import wire
 from lapispass.gate.service import Gate
 from lapispass.operator import read as operator
-from lapispass.peers.coordination import Service
+from lapispass.peers.coordination import CoordinationClient
 
 pytestmark = pytest.mark.time_limit(30)
 MS = 1000
@@ -73,8 +73,8 @@
         granted = b'HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{"ID":"7"}'
         thread = threading.Thread(target=answer_slowly, args=(listener, 0.1, granted))
         thread.start()
-        service = Service("{}:{}".format(*listener.getsockname()), call_us=300 * MS)
-        call = asyncio.create_task(service.grant(5))
+        service = CoordinationClient("{}:{}".format(*listener.getsockname()), call_timeout_us=300 * MS)
+        call = asyncio.create_task(service.grant_lease(5))
         await asyncio.sleep(0.05)
         time.sleep(0.5)  # noqa: ASYNC251
         try:
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -36,8 +36,8 @@
 from lapispass.net.registry import Registry
 from lapispass.net.relay import Calls
 from lapispass.operator import read as operator
-from lapispass.peers.coordination import Service
-from lapispass.standins.coordination import Coordination
+from lapispass.peers.coordination import CoordinationClient
+from lapispass.standins.coordination import CoordinationServer
 
 SERVERS = 5_700
 SLICES = 2_200
@@ -242,7 +242,7 @@
 
 
 async def test_720_controllers_and_all_slices_are_read_from_the_coordination_service() -> None:
-    service = Coordination()
+    service = CoordinationServer()
     await service.start()
     record = b'{"epoch":3,"holder":"n-007/1796139439123","owner":"s-0000162b","share":1.0,"shut":[]}'
     keys = {f"/lapispass/members/n-{n:03d}".encode(): b'{"weight":1.0}' for n in range(CONTROLLERS)}
@@ -250,9 +250,9 @@
     keys |= {f"/lapispass/out/n-000/s-{n:08x}".encode(): b"1" for n in range(SERVERS)}
     for key, value in keys.items():
         service.state._put(key, value, 0)
-    client = Service(service.address)
+    client = CoordinationClient(service.address)
     try:
-        _, read = await client.read("/lapispass/")
+        _, read = await client.read_prefix("/lapispass/")
         assert len(read) == CONTROLLERS + SLICES + SERVERS
     finally:
         client.close()
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -453,7 +453,7 @@
     # times that the rules allow.
     semaphore = asyncio.Semaphore(2)
 
-    async def run(seed: int) -> drops.Verdict:
+    async def run(seed: int) -> drops.RunResult:
         async with semaphore:
             return await drops.play(seed, duration)
 
@@ -486,7 +486,7 @@
 ) -> None:
     duration = drops.Duration(seconds=4.0, most_s=120.0, writes=90, handovers=6, drops=10)
     breaches = [Breach("2", "a", 0, "")] if broken else []
-    verdict = drops.Verdict(0, breaches, handovers=handovers, drops=10)
+    verdict = drops.RunResult(0, breaches, handovers=handovers, drops=10)
     assert duration.is_over(elapsed_s, verdict, writes) == over
 
 
@@ -505,7 +505,7 @@
 def test_a_paused_client_has_the_grace_period_of_a_drain_from_when_it_resumes(tmp_path: Path) -> None:
     # At the moment when the client resumed it counted as late by the whole duration of its pause.
     async def test() -> None:
-        day = drops.Day(1, tmp_path, drops.Duration())
+        day = drops.Run(1, tmp_path, drops.Duration())
         begun = clock_us() - 5_000_000
         client = SimpleNamespace(
             name="c0", faults=drops.Faults(), frozen=True, reads_from=lambda number: "n2"
@@ -519,14 +519,14 @@
         day.thaw()
 
         async def sampled() -> int:
-            sampling = asyncio.create_task(day.sample())
+            sampling = asyncio.create_task(day.sample_clients())
             await asyncio.sleep(0.1)
             sampling.cancel()
             await asyncio.gather(sampling, return_exceptions=True)
             return len(day.checker.verdict())
 
         assert await sampled() == 0
-        day.thawed["c0"] -= 1_100_000
+        day.thawed_at["c0"] -= 1_100_000
         assert await sampled() > 0
 
     play(test())
@@ -535,10 +535,10 @@
 def test_the_lifetime_of_a_write_starts_when_it_is_decided(tmp_path: Path) -> None:
     # It started with the first step of the write's task, which may run much later, after a blocking commit.
     async def test() -> None:
-        day = drops.Day(1, tmp_path, drops.Duration())
-        await day.carry("n0", "k1", "c0-1", clock_us() - 160_000)
+        day = drops.Run(1, tmp_path, drops.Duration())
+        await day.execute_write("n0", "k1", "c0-1", clock_us() - 160_000)
         assert not day.checker.carried
-        await day.carry("n0", "k1", "c0-2", clock_us())
+        await day.execute_write("n0", "k1", "c0-2", clock_us())
         assert [write.number for write in day.checker.carried] == ["c0-2"]
 
     play(test())
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -19,7 +19,7 @@
 from lapispass.core.clients import WRITES, Client, ClientLimits, ConnectLimiter, ProxyNumbers
 from lapispass.core.shared_types import SECOND
 from lapispass.core.versions import ResourceCache, Watch
-from lapispass.store.assignments import Assignments, Spoilt
+from lapispass.store.assignments import Assignments, CorruptStore
 
 NOW = 1_000 * SECOND
 LIMITS = ClientLimits(lease_us=2 * SECOND)
@@ -481,7 +481,7 @@
         [interface.Barrier(2, True)]
     )
     store.commit([interface.ClearTable(0)])
-    with pytest.raises(Spoilt, match="locked"):
+    with pytest.raises(CorruptStore, match="locked"):
         Assignments(tmp_path / "s", 4)  # one controller at a time
     store.snapshot(tmp_path / "copy")
     store.compact()
@@ -507,22 +507,22 @@
     file = apsw.Connection(str(path))
     file.execute("UPDATE line SET owner = 'another' WHERE slice = 3")
     file.close()
-    with pytest.raises(Spoilt, match="slice 3 is not as it was written"):
+    with pytest.raises(CorruptStore, match="slice 3 is not as it was written"):
         Assignments(path, 64)
-    with pytest.raises(Spoilt, match="holds 64 slices, the operator file says 65"):
+    with pytest.raises(CorruptStore, match="holds 64 slices, the operator file says 65"):
         Assignments(fresh(), 65)
     path = fresh()
     path.write_bytes(path.read_bytes().replace(b"node-17", b"node-71"))
-    with pytest.raises(Spoilt):
+    with pytest.raises(CorruptStore):
         Assignments(path, 64)
     path = fresh()
     path.write_bytes(b"not a database, by any means" * 200)
-    with pytest.raises(Spoilt) as caught:
+    with pytest.raises(CorruptStore) as caught:
         Assignments(path, 64)
     assert "\n" not in str(caught.value)
     path = fresh()
     path.write_bytes(path.read_bytes()[:5000])
-    with pytest.raises(Spoilt):
+    with pytest.raises(CorruptStore):
         Assignments(path, 64)
 
 
