--- a/lapispass/peers/__init__.py
+++ b/lapispass/peers/__init__.py
@@ -1,2 +1,1 @@
-"""Several controllers that share the nodes: the client of the coordination service and the host that goes
-by it."""
+"""Several controllers that share the nodes through a coordination service: its client, and their host."""
--- a/lapispass/peers/coordination.py
+++ b/lapispass/peers/coordination.py
@@ -1,8 +1,8 @@
-"""A client of a coordination service that speaks etcd's v3 API through its JSON gateway: one call, one
-answer, bounded.
+"""A client of a coordination service that speaks etcd's v3 API through its JSON gateway.
 
-An answer that does not come is not a 'no': a transaction may have been carried out. `OutcomeUnknown` says so;
-whoever called reads what stands before doing anything else.
+Each call has one answer, which is bounded in time and size. If no answer comes, a transaction may still have
+been carried out, which `OutcomeUnknown` reports. The caller then reads the current state before it does
+anything else.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 
 
 class OutcomeUnknown(Exception):
-    """No answer: the call may or may not have been carried out."""
+    """No valid answer came: the call may or may not have been carried out."""
 
 
 class CallRejected(Exception):
-    """The service has said no, or is not able to."""
+    """The service answered with an error: it rejected the call or was unable to carry it out."""
 
 
 class RevisionCompacted(Exception):
-    """A watch can't go on from its revision: what stands has to be read anew."""
+    """A watch cannot continue from its revision: the caller has to read a new snapshot."""
 
 
 class KeyValue(NamedTuple):
-    """A key as the service has it."""
+    """The value of a key in the service, and the revisions of its creation and of its last change."""
 
     value: bytes
     create_revision: int
@@ -44,9 +44,11 @@
 
 
 class KeyChange(NamedTuple):
+    """A change of a key, as a watch reports it."""
+
     key: str
     revision: int
-    current: KeyValue | None  # none: deleted
+    current: KeyValue | None  # None if the key was deleted
 
 
 class Put(NamedTuple):
@@ -61,7 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """A key must have been changed last, or compare_creation, at this revision; 0: must not be there."""
+    """A condition of a transaction: the key's last change was at this revision.
+
+    With `compare_creation` it is the key's creation instead. With revision 0 the key must not exist.
+    """
 
     key: str
     revision: int
@@ -69,6 +74,8 @@
 
 
 class TransactionResult(NamedTuple):
+    """Whether a transaction's conditions were met, and the service's revision after it."""
+
     succeeded: bool
     revision: int
 
@@ -82,7 +89,7 @@
 
 
 def range_end(prefix: str) -> str:
-    """The first key behind all that begin so."""
+    """The first key after all keys with this prefix."""
     return prefix[:-1] + chr(ord(prefix[-1]) + 1)
 
 
@@ -95,7 +102,10 @@
 
 
 class CoordinationClient:
-    """One address. Calls go one after the other over a kept connection; a watch has its own."""
+    """A client for one address.
+
+    Calls are made one at a time over a connection that is kept open. Each watch has its own connection.
+    """
 
     def __init__(
         self, address: str, limits: Limits | None = None, call_timeout_us: int = CALL_TIMEOUT_US
@@ -106,7 +116,10 @@
         self.lock = asyncio.Lock()
 
     async def call(self, target: str, request: Mapping[str, Any]) -> dict[str, Any]:
-        """One call; `CallRejected` for an error that is an answer, `OutcomeUnknown` for anything else."""
+        """Makes one call.
+
+        Raises `CallRejected` if the service answers with an error, `OutcomeUnknown` for any other failure.
+        """
         async with self.lock:
             try:
                 exchange = self.exchange(target, msgspec.json.encode(request))
@@ -119,11 +132,11 @@
         return answer
 
     async def exchange(self, target: str, body: bytes) -> tuple[int, bytes]:
-        """A call over the kept connection, or a new one: status and body of its answer."""
+        """Makes a call over the open connection or a new one; returns the status and body of the answer."""
         connection, self.connection = self.connection, None
         try:
             if connection is not None and not connection.usable:
-                connection.close()  # ended by the service: our half of it would stay open
+                connection.close()  # the service has closed its side; ours would stay open
                 connection = None
             if connection is None:
                 connection = await HttpConnection.open(self.address, self.limits)
@@ -138,7 +151,7 @@
                 connection.close()
 
     async def read_prefix(self, prefix: str) -> tuple[int, dict[str, KeyValue]]:
-        """All keys below a prefix, at one revision."""
+        """Reads all keys with a prefix, at one revision."""
         answer = await self.call(
             "/v3/kv/range", {"key": encode_base64(prefix), "range_end": encode_base64(range_end(prefix))}
         )
@@ -149,7 +162,7 @@
     async def compare_and_swap(
         self, conditions: Iterable[Condition], operations: Iterable[Put | Delete]
     ) -> TransactionResult:
-        """Compare and swap: all operations at one revision, or none."""
+        """Carries out all operations at one revision if all conditions are met, otherwise none."""
         compare = [
             {
                 "key": encode_base64(condition.key),
@@ -184,7 +197,7 @@
         return int((await self.call("/v3/lease/grant", {"TTL": str(ttl_s), "ID": "0"}))["ID"])
 
     async def renew_lease(self, lease: int) -> int:
-        """Renews; what it lasts, us, 0 where the service does not know it."""
+        """Renews a lease; returns its time to live in us, 0 if the service does not know it."""
         answer = await self.call("/v3/lease/keepalive", {"ID": str(lease)})
         return int(answer.get("result", {}).get("TTL", 0)) * 1_000_000
 
@@ -207,12 +220,12 @@
             }
             opening = self.request_watch(connection, msgspec.json.encode({"create_request": create}))
             if await within(self.call_timeout_us, opening, self.limits.late_us) != 200:
-                raise OutcomeUnknown("watch: refused")
+                raise OutcomeUnknown("watch: the service rejected the request")
             unparsed = bytearray()
             while chunk := await connection.read_chunk():
                 unparsed += chunk
                 if len(unparsed) > MAX_ANSWER_BYTES:
-                    raise OutcomeUnknown("watch: a line without an end")
+                    raise OutcomeUnknown("watch: a line exceeds the size limit for answers")
                 while (line_end := unparsed.find(b"\n")) >= 0:
                     message = msgspec.json.decode(bytes(unparsed[:line_end]))["result"]
                     del unparsed[: line_end + 1]
@@ -240,7 +253,7 @@
 
     @staticmethod
     async def request_watch(connection: HttpConnection, body: bytes) -> int:
-        """Asks for a watch; the status of the answer."""
+        """Requests a watch; returns the status of the answer."""
         await connection.send("POST", "/v3/watch", body)
         return await connection.answer()
 
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -1,11 +1,11 @@
-"""A controller that shares the nodes with others: the truth is in the coordination service, each slice
-under an epoch.
-
-Every controller serves the tables of all slices to its own clients, and acts on those it holds. Another
-controller is a proxy to its module: a barrier is answered for it when all of its clients have proven the
-revision that the barrier stands for, or a lease after the service called it dead. What is published was
-carried out in the service first, by compare-and-swap on the slice's last revision and on the key of this
-controller's own life.
+"""The host of a controller that shares the nodes with other controllers.
+
+The coordination service holds the authoritative record of each slice, under an epoch. Every host serves the
+tables of all slices to its own clients, and its controller decides only on the slices that it holds. To that
+controller each other host is a proxy. A barrier is acknowledged for another host when all of its clients have
+acknowledged the revision that belongs to the barrier, or one lease after the service reported its death.
+Everything is written to the service before it is published. The write is a compare-and-swap on the slice's
+last revision and on the member key of this incarnation.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class SharedHost(Host):
-    """One of several controllers."""
+    """Hosts one of several controllers that share the nodes."""
 
     def open_store(self, source: Source) -> None:
-        """Nothing is ours until the service says so."""
+        """Prepares the client of the coordination service; this controller holds no slice yet."""
         shared = source.told.alone.shared
         weight = shared.weight if shared.HasField("weight") else 1.0
         ttl_s = max(1, shared.session_s) if shared.HasField("session_s") else 3
@@ -51,28 +51,30 @@
         self.lease = OwnLease(
             self.service, self.name, weight, ttl_s, self.clock, self.counters, self.log, self.end_session
         )
-        self.unconfirmed_slices: set[int] = set()  # slices of the turn that is being carried out
-        self.watched_revision = 0  # the revision up to which all changes have come
+        self.unconfirmed_slices: set[int] = set()  # slices whose records are being written
+        self.watched_revision = 0  # all changes up to this revision have been received
         self.xds_server.may_grant_writes = self.may_grant_writes
         self.members = Members()
-        self.proxy_numbers: dict[str, int] = {}  # holder: its number as a proxy of our module
-        self.gone_at: dict[str, int] = {}
+        self.proxy_numbers: dict[str, int] = {}  # by holder: its number as a proxy of our controller
+        self.gone_at: dict[str, int] = {}  # by holder: since when it is known to be dead
         self.takeover = Takeover(self.deployment.slices, self.lease.holder, linger_us=ttl_s * 100_000)
         self.writer = RecordWriter(self.service, self.lease, self.takeover, self.counters)
-        self.snapshot = tables.Tables(self.deployment.slices)  # what all controllers together have published
+        self.snapshot = tables.Tables(
+            self.deployment.slices
+        )  # the tables that all controllers have published
         self.own_snapshot = TableSnapshot(
             self.deployment.slices, self.deployment.classes, self.deployment.admission_mode == "share"
         )
         self.revision, self.read_at = 0, 0
-        self.unacked_turns: deque[tuple[int, int]] = deque(
-            maxlen=4096
-        )  # our turn, the revision of others it shows
-        self.acked_revision = -1
-        self.barriers: deque[tuple[int, int, int]] = deque(maxlen=4096)  # barrier, revision, when
-        self.peer_acked_revisions: dict[str, int] = {}
-        self.peer_acked_at: dict[str, int] = {}
-        self.withdrawals: set[str] = set()
-        # Nodes to be shut out, or let in, that the service has not been told.
+        # A turn of our xDS server, and the revision of the service whose changes it has published.
+        self.unacked_turns: deque[tuple[int, int]] = deque(maxlen=4096)
+        self.acked_revision = -1  # the last one that we have reported as acknowledged by all of our clients
+        # A barrier of our controller, the revision that belongs to it, and when it was published.
+        self.barriers: deque[tuple[int, int, int]] = deque(maxlen=4096)
+        self.peer_acked_revisions: dict[str, int] = {}  # by controller, as its answer key reports it
+        self.peer_acked_at: dict[str, int] = {}  # by controller: when the last barrier it acked was published
+        self.withdrawals: set[str] = set()  # `controller/node` for each node that a controller has withdrawn
+        # Nodes withdrawn (True) or readmitted (False) by us that the service does not know about yet.
         self.unreported_withdrawals: dict[str, bool] = {}
         self.is_leaving = False
         self.synced = asyncio.Event()
@@ -83,15 +85,15 @@
     def close_store(self) -> None:
         self.service.close()
 
-    # the session
+    # Session
 
     def end_session(self, why: str) -> None:
-        """All that was ours is not any more; a new life has a name of its own."""
+        """Gives up all slices and begins a new incarnation, which has its own holder name."""
         self.log.warn("session ended", why=why, slices=len(self.takeover.acting))
         self.counters["peers.sessions_lost"] += 1
         self.lease.begin_incarnation()
         self.takeover.name = self.lease.holder
-        # What we reported of nodes has ended with it.
+        # The keys of the nodes that we have withdrawn were deleted together with the lease.
         self.unreported_withdrawals.update(dict.fromkeys(self.own_snapshot.tables.withdrawn, True))
         self.stop_all_slices()
 
@@ -101,17 +103,18 @@
         self.takeover.acting.clear()
 
     def may_grant_writes(self, now: int) -> bool:
-        """Whether clients of ours may write: in a session, and with all that was published before it began.
+        """Whether our clients may be allowed to write.
 
-        From its key's revision on, others wait for our answers. Before it they counted us as gone, so what
-        they have published until then has to be here first.
+        That needs a valid session and all changes up to the revision at which our member key was created.
+        From that revision on, other controllers wait for our acknowledgements. Before it they considered us
+        gone, so what they published until then must have been received first.
         """
         return self.lease.session.is_valid(now) and self.watched_revision >= self.lease.key_revision
 
-    # what the service says
+    # Changes in the service
 
     async def follow_changes(self) -> None:
-        """All that stands, then what changes; read anew where the changes are compacted away."""
+        """Reads a snapshot, then follows the changes; repeats both if the watch ends or was compacted."""
         while True:
             try:
                 revision, keys = await self.service.read_prefix(records.ROOT)
@@ -126,14 +129,17 @@
                         self.apply_changes(changes, max(change.revision for change in changes))
             except RevisionCompacted as error:
                 self.counters["peers.compacted"] += 1
-                self.log.rate_limited("watch compacted", at=error)
+                self.log.rate_limited("watch cancelled, its revision was compacted", at=error)
             except (OutcomeUnknown, CallRejected) as error:
                 self.counters["peers.watches_lost"] += 1
-                self.log.rate_limited("watch lost", why=error)
+                self.log.rate_limited("reading or watching the coordination service failed", why=error)
             await asyncio.sleep(0.05 + 0.1 * self.xds_server.connect_limiter.returns.draw())
 
     def apply_changes(self, changes: Sequence[KeyChange], revision: int, is_snapshot: bool = False) -> None:
-        """Records, lives, answers and nodes shut out; what others published goes to our clients."""
+        """Applies changed records, members, acknowledged revisions and withdrawals of nodes.
+
+        What other controllers have published is passed on to our clients.
+        """
         table_changes: list[tables.TableChange] = []
         affects_tables = is_snapshot
         if is_snapshot:
@@ -171,8 +177,9 @@
         self.publish_changes(table_changes, None)
         self.watched_revision = max(self.watched_revision, revision)
         if affects_tables:
-            # Only what the watch has brought may be answered for, and it brings everyone's changes in
-            # order: our own writes have revisions beyond those of others that we have not seen yet.
+            # Only revisions that the watch has delivered may be acknowledged. It delivers the changes of all
+            # controllers in order, while our own writes may have later revisions than changes of others that
+            # have not been received yet.
             self.revision = max(self.revision, revision)
             self.unacked_turns.append((self.xds_server.turn, revision))
         self.acknowledge_barriers()
@@ -186,8 +193,11 @@
         return found
 
     def update_members(self, alive: dict[str, tuple[float, str]]) -> None:
-        """Another life is another proxy: one that has gone counts for a lease, whoever comes under its
-        name."""
+        """Reports controllers that joined or left as proxies.
+
+        Each incarnation is a proxy of its own: one that has left still counts for one lease, even if another
+        joins under the same name.
+        """
         now = self.clock.now()
         before = {name: f"{name}/{member.boot}" for name, member in self.members.known.items()}
         joined, left = self.members.update(alive, now)
@@ -198,7 +208,7 @@
                 self.tell(interface.ProxyLeft(number))
                 self.xds_server.proxy_numbers.release(now, number)
             self.counters["peers.left"] += 1
-            self.log.say("controller gone", holder=holder)
+            self.log.say("controller left", holder=holder)
         for member in joined:
             holder = f"{member.name}/{member.boot}"
             if member.name == self.name:
@@ -208,33 +218,35 @@
             self.peer_acked_revisions.pop(member.name, None)
             self.tell(interface.ProxyJoined(number, True, "", None))
             self.counters["peers.joined"] += 1
-            self.log.say("controller there", holder=holder)
+            self.log.say("controller joined", holder=holder)
         horizon = now - 100 * self.deployment.lease_us
         self.members.forget(horizon)
         self.gone_at = {holder: at for holder, at in self.gone_at.items() if at > horizon}
 
     def apply_record(self, number: int, kv: KeyValue) -> list[tables.TableChange]:
-        """A slice's record; what changes for our clients by it."""
+        """Applies a slice's record; returns the table changes that it means for our clients."""
         new = records.decode_slice(kv)
         if kv.mod_revision < self.writer.last_record(number).revision:
             return []
         self.takeover.received(number, new)
         if number in self.unconfirmed_slices:
-            return []  # our own word, table_changes when it is known to be carried out
+            return []  # our own write, published once it is known to be carried out
         return [
             change
             for change in (tables.SetOwner(number, new.owner), tables.SetShare(number, new.share, new.shut))
         ]
 
     def set_withdrawn(self, withdrawal: str, out: bool) -> list[tables.TableChange]:
-        """`controller/node`: a node is out while any controller says so. What one withdrawal ends with its
-        session."""
+        """Applies that a controller has withdrawn or readmitted a node, given as `controller/node`.
+
+        A node is withdrawn while any controller withdraws it. Withdrawals end with the controller's session.
+        """
         (self.withdrawals.add if out else self.withdrawals.discard)(withdrawal)
         node = withdrawal.partition("/")[2]
         return [tables.SetWithdrawn(node, any(other.partition("/")[2] == node for other in self.withdrawals))]
 
     def publish_changes(self, changes: Sequence[tables.TableChange], barrier: int | None) -> None:
-        """Published to our clients."""
+        """Publishes changes to our clients, with a barrier if there is one."""
         self.snapshot.nodes = dict(self.xds_server.addresses)
         published = [
             change
@@ -243,10 +255,10 @@
         ]
         self.xds_server.publish(self.snapshot, published, barrier)
 
-    # what others wait for, and we for them
+    # Acknowledgements, claims and releases
 
     def acknowledge_barriers(self) -> None:
-        """Marks of ours whose revision another controller's clients have all proven."""
+        """Acknowledges our barriers for the controllers whose clients have all acknowledged them."""
         for holder, number in self.proxy_numbers.items():
             name = holder.partition("/")[0]
             acked_revision = self.peer_acked_revisions.get(name, -1)
@@ -260,7 +272,7 @@
                 self.tell(interface.BarrierAck(number, ready[-1][0], self.clock.now() - ready[-1][1]))
 
     async def run_evaluations(self) -> None:
-        """Claims, releases, and what others may count on."""
+        """Regularly claims and releases slices, and reports which revision our clients have acknowledged."""
         await self.synced.wait()
         while True:
             await asyncio.sleep(EVALUATION_INTERVAL_S)
@@ -289,7 +301,7 @@
             await self.publish_acked_revision()
 
     async def write_claims(self, claims: list[RecordUpdate]) -> None:
-        """Each by itself: one that another was faster at costs only itself."""
+        """Writes each claim in its own transaction: one lost to a faster controller costs no other."""
         for claim in claims:
             if not self.lease.is_valid():
                 return
@@ -299,14 +311,14 @@
     async def write_records(
         self, slice_records: dict[int, Record], operations: list[Put | Delete]
     ) -> int | None:
-        """The revision at which it was carried out, or none."""
+        """Writes records and further operations; returns the revision, or None if it was not carried out."""
         revision = await self.writer.write(slice_records, operations)
         if revision is not None:
             self.revision = max(self.revision, revision)
         return revision
 
     async def publish_acked_revision(self) -> None:
-        """Tells others up to which revision all of our clients have proven what stands."""
+        """Reports to the other controllers the revision that all of our clients have acknowledged."""
         acked_turn = self.xds_server.acked_turn(self.clock.now())
         ready = [revision for turn, revision in self.unacked_turns if turn <= acked_turn]
         if ready and ready[-1] > self.acked_revision and self.lease.is_valid():
@@ -320,11 +332,13 @@
             except (OutcomeUnknown, CallRejected):
                 self.counters["peers.calls_failed"] += 1
 
-    # turns
+    # Turns
 
     async def run_turns(self) -> None:
-        """Decide, have it carried out in the service, then publish. One turn's orders are under way at a
-        time."""
+        """Takes turns: decides, writes the result to the service, then publishes it.
+
+        Only one turn is written at a time.
+        """
         await self.synced.wait()
         while True:
             await self.wait_until_due()
@@ -354,7 +368,10 @@
                 self.unconfirmed_slices = set()
                 if written_revision is None:
                     self.counters["peers.turns_lost"] += 1
-                    self.log.rate_limited("turn not carried out", slices=len(slice_records))
+                    self.log.rate_limited(
+                        "turn not written to the coordination service, its slices start again",
+                        slices=len(slice_records),
+                    )
                     await self.restart_slices(slice_records)
                     continue
                 revision = written_revision
@@ -366,8 +383,9 @@
                     table_changes.append(tables.SetOwner(number, record.owner))
                     table_changes.append(tables.SetShare(number, record.share, record.shut))
             if not self.lease.is_valid():
-                # Guards rule 2 against a pause: no barrier is told by who may have been followed already.
-                # Nobody can write by what is table_changes while the fence is down.
+                # Protects rule 2 against a pause of this process: a controller whose slices may already have
+                # been claimed publishes no barrier. Publishing the tables is safe, as no client may write
+                # while the session is not valid.
                 self.publish_changes(table_changes, None)
                 continue
             for node, out in self.unreported_withdrawals.items():
@@ -383,10 +401,11 @@
         return records.withdrawal_key(f"{self.name}/{node}")
 
     async def restart_slices(self, numbers: Iterable[int]) -> None:
-        """A turn was not carried out, but the module has decided it: its slices begin anew from what stands.
+        """Restarts slices from the current records after a turn that was decided but not written.
 
-        Guards rule 2: a later barrier is answered for all turns before it, so an empty step that never was
-        would count as done, and a new owner follow the old one without it.
+        Protects rule 2: a later barrier is acknowledged for all turns before it. Without the restart the step
+        with an empty table would count as done although it was never published, and a new owner would follow
+        the old one without it.
         """
         try:
             revision, keys = await self.service.read_prefix(records.ROOT)
@@ -394,7 +413,7 @@
                 [KeyChange(key, kv.mod_revision, kv) for key, kv in keys.items()], revision, is_snapshot=True
             )
         except (OutcomeUnknown, CallRejected):
-            self.end_session("what stands could not be read after a turn that was not carried out")
+            self.end_session("the records could not be read after a turn that was not written")
             return
         for number in numbers:
             if number in self.takeover.acting:
@@ -402,16 +421,16 @@
                 self.start_slice(number)
 
     def start_slice(self, number: int) -> None:
-        """Hands a slice of ours to the module, with its owner."""
+        """Hands a slice that we hold to the controller, with its owner."""
         self.tell(interface.SliceGrant(number, True))
         record = self.takeover.records[number]
-        # Where writes are shut an earlier owner may still hold some: the module begins with an empty table
-        # and its own gate, while readers go on with what stands.
+        # While a slice is shut for writes, an earlier owner may still be working on some. So the controller
+        # starts with an empty table and its own decision on admission; readers keep the published owner.
         if record.owner and not record.shut:
             self.tell(interface.StoredOwner(number, record.owner))
 
     def changed_records(self, changes: Sequence[tables.TableChange]) -> dict[int, Record]:
-        """A turn's changes of slices that are ours."""
+        """The records, as changed by a turn, of slices that we hold."""
         slice_records: dict[int, Record] = {}
         for change in changes:
             match change:
@@ -430,7 +449,10 @@
         return slice_records
 
     async def leave(self) -> None:
-        """A planned end: slices are let go one by one as they come to rest, so that others need not wait."""
+        """Prepares a planned stop, then stops.
+
+        Each slice is released once no handover is under way, so that other controllers need not wait.
+        """
         self.is_leaving = True
         for _ in range(int(10 / EVALUATION_INTERVAL_S)):
             if not self.takeover.acting:
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -1,4 +1,4 @@
-"""A controller's lease in the coordination service, and the key of its life that hangs on it."""
+"""A controller's lease in the coordination service, and the member key that is attached to it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class OwnLease:
-    """Granted, renewed, and granted anew under another boot where it has run out; `ended` is told why."""
+    """Keeps a lease renewed, and requests a new one under a new boot after it has ended.
+
+    `on_end` is called with the reason when the lease ends.
+    """
 
     def __init__(
         self,
@@ -32,11 +35,11 @@
         self.clock, self.counters, self.log, self.on_end = clock, counters, log, on_end
         self.boot = secrets.token_hex(4)
         self.session = Session(margin_us=ttl_s * 100_000)
-        self.key_revision = 0  # revision at which this life's key was made
+        self.key_revision = 0  # revision at which this incarnation's member key was created
 
     @property
     def holder(self) -> str:
-        """Its name as the holder of slices: another life is another holder."""
+        """The name under which it holds slices; each incarnation is a different holder."""
         return f"{self.name}/{self.boot}"
 
     def is_valid(self) -> bool:
@@ -44,11 +47,11 @@
         return self.session.is_valid(self.clock.now())
 
     def key_condition(self) -> Condition:
-        """What a transaction of this life expects: that its key is there."""
+        """The condition of every transaction: this incarnation's member key still exists."""
         return Condition(records.member_key(self.name), self.key_revision, True)
 
     async def keep_alive(self) -> None:
-        """Grants, renews, and begins another life where a lease has run out."""
+        """Requests and renews the lease for as long as the task runs."""
         while True:
             sent_us = self.clock.now()
             try:
@@ -58,14 +61,14 @@
                     await self.start_session(sent_us)
             except (OutcomeUnknown, CallRejected) as error:
                 self.counters["peers.calls_failed"] += 1
-                self.log.rate_limited("service not reached", why=error)
+                self.log.rate_limited("call to the coordination service failed", why=error)
                 if self.session.lease_id and self.clock.now() >= self.session.valid_until:
-                    self.on_end("it could not be renewed")
+                    self.on_end("the lease expired because it could not be renewed")
             delay_s = self.ttl_s / 5 if self.session.lease_id else self.ttl_s / 10
             await asyncio.sleep(delay_s)
 
     async def start_session(self, sent_us: int) -> None:
-        """Has a lease granted, and the key made, unless an earlier life's key is still there."""
+        """Requests a lease and creates the member key, unless an earlier incarnation's key still exists."""
         lease = await self.service.grant_lease(self.ttl_s)
         key = Put(records.member_key(self.name), records.encode_member(self.boot, self.weight), lease)
         result = await self.service.compare_and_swap([Condition(key.key, 0)], [key])
@@ -74,15 +77,15 @@
             return
         self.key_revision = result.revision
         self.session.granted(sent_us, lease, self.ttl_s * 1_000_000)
-        self.log.say("session begun", holder=self.holder)
+        self.log.say("session started", holder=self.holder)
 
     async def renew_session(self, sent_us: int) -> None:
-        """Has the lease renewed; it may be over at the service."""
+        """Renews the lease, and ends the session if the service no longer has the lease."""
         ttl_us = await self.service.renew_lease(self.session.lease_id)
         if not self.session.renewed(sent_us, self.session.lease_id, ttl_us):
-            self.on_end("the service knows it no more")
+            self.on_end("the coordination service no longer has the lease")
 
     def begin_incarnation(self) -> None:
-        """This life is over; the next one has a name of its own."""
+        """Ends the session and draws the boot of the next incarnation, which has its own holder name."""
         self.session.end()
         self.boot = secrets.token_hex(4)
--- a/lapispass/peers/record_writer.py
+++ b/lapispass/peers/record_writer.py
@@ -1,4 +1,7 @@
-"""Writes slices' records to the coordination service, by compare-and-swap under the key of one's life."""
+"""Writes the records of slices to the coordination service.
+
+Each write is a compare-and-swap that also requires the member key of this incarnation.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class RecordWriter:
-    """Carries out transactions; one without an answer is looked up before it is sent again."""
+    """Carries out transactions. If one gets no answer, its outcome is looked up before it is sent again."""
 
     def __init__(
         self, service: CoordinationClient, lease: OwnLease, takeover: Takeover, counters: Counters
@@ -25,10 +28,10 @@
         self.service, self.lease, self.takeover, self.counters = service, lease, takeover, counters
 
     async def write(self, slices: dict[int, Record], operations: list[Put | Delete]) -> int | None:
-        """Compare and swap of slices, with further operations; the revision, or none where it was not carried
-        out.
+        """Writes the records of some slices, together with further operations, in one transaction.
 
-        Where no answer comes, what stands is read before anything else is done: it may have been carried out.
+        Returns its revision, or None if it was not carried out. If no answer comes, the transaction may have
+        been carried out, so the current records are read before anything else is done.
         """
         conditions = [self.lease.key_condition()]
         for number, record in slices.items():
@@ -51,11 +54,15 @@
         return None
 
     def last_record(self, number: int) -> Record:
-        """A slice's record as it was read or written last."""
+        """A slice's record as it was last read or written."""
         return self.takeover.records.get(number, NEVER_WRITTEN)
 
     async def find_applied_revision(self, slices: dict[int, Record]) -> int | None:
-        """Whether a transaction without an answer was: its first slice stands as it was to be."""
+        """The revision of a transaction without an answer, or None if it was not carried out.
+
+        It was carried out if the record of its first slice is newer than the last known one and equals the
+        record that was to be written.
+        """
         try:
             _, keys = await self.service.read_prefix(records.SLICE_PREFIX)
         except (OutcomeUnknown, CallRejected):
@@ -74,7 +81,7 @@
         return None
 
     def store_written(self, slices: dict[int, Record], revision: int) -> int:
-        """Notes what was carried out."""
+        """Stores the records that were written, with their new revision; returns it."""
         for number, record in slices.items():
             self.takeover.received(number, record._replace(revision=revision))
         return revision
--- a/lapispass/peers/records.py
+++ b/lapispass/peers/records.py
@@ -1,4 +1,4 @@
-"""What controllers that share nodes keep in the coordination service: the keys, and their records."""
+"""The keys that controllers keep in the coordination service, and the records stored under them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoredSlice(msgspec.Struct, frozen=True):
-    """A slice's record as it is stored."""
+    """The value under a slice's key. Its fields are described at `core.takeover.Record`."""
 
     epoch: int
     holder: str
@@ -22,7 +22,7 @@
 
 
 class StoredMember(msgspec.Struct, frozen=True):
-    """A controller's key: it ends with its lease."""
+    """The value under a controller's member key, which the service deletes when the lease ends."""
 
     boot: str
     weight: float
@@ -41,12 +41,12 @@
 
 
 def withdrawal_key(controller_and_node: str) -> str:
-    """Of a node that a controller shuts out; `controller/node`."""
+    """The key of a node that a controller has withdrawn, given as `controller/node`."""
     return f"{ROOT}out/{controller_and_node}"
 
 
 def parse_key(key: str) -> tuple[str, str]:
-    """A key's kind, and what it is about."""
+    """Splits a key into its kind (`slices`, `members`, `answers`, `out`) and the name after it."""
     kind, _, name = key.removeprefix(ROOT).partition("/")
     return kind, name
 
@@ -58,7 +58,7 @@
 
 
 def decode_slice(kv: KeyValue) -> Record:
-    """A slice's record, at the revision of its last change."""
+    """A slice's record, with the revision of its last change."""
     stored = msgspec.json.decode(kv.value, type=StoredSlice)
     return Record(stored.epoch, stored.holder, stored.owner, stored.share, stored.shut, kv.mod_revision)
 
