--- a/lapispass/cli/__init__.py
+++ b/lapispass/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `lapispass VERB`; each verb loads its part when it is called."""
+"""The command line `lapispass VERB`. Each verb imports its part only when it is called."""
--- a/lapispass/cli/front_ends.py
+++ b/lapispass/cli/front_ends.py
@@ -1,4 +1,4 @@
-"""The controller with the further fronts that an operator file asks for."""
+"""Runs the controller with the further front ends that an operator file describes: gates and xDS."""
 
 from __future__ import annotations
 
@@ -15,13 +15,19 @@
 
 
 def count_gates_as_proxies(source: Source) -> Callable[[Launch], Launch]:
-    """Gates count as proxies: each may still act on an older table when a controller starts."""
+    """Completes the launch settings: gates count as proxies.
+
+    Each gate may still act on an older table when a controller starts.
+    """
     gates = len(source.told.gates.name)
     return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + gates))
 
 
 def attach(source: Source) -> Callable[[Service], None]:
-    """Sets each front beside the service; a file that does not fit is a bad start."""
+    """Returns a function that adds the front ends to a service.
+
+    It raises `BadStart` if the operator file is invalid.
+    """
 
     def attach_front_ends(service: Service) -> None:
         try:
@@ -40,7 +46,7 @@
 
 
 def main(path: Path) -> int:
-    """The process's status."""
+    """Runs the controller that the operator file describes; returns the exit status."""
     try:
         source = read_at_start(path)
     except BadFile as error:
--- a/lapispass/cli/logs.py
+++ b/lapispass/cli/logs.py
@@ -1,7 +1,6 @@
-"""How logs are written, by choice: `plain` as ever, or structlog's JSON and logfmt for the processes that
-can afford it.
+"""The styles of log lines: `plain`, or JSON and logfmt by structlog.
 
-structlog alone takes 6.5 MB and 0.1 s to load, so the platform's process never does.
+structlog alone takes 6.5 MB and 0.1 s to load, so the platform's process never loads it.
 """
 
 from __future__ import annotations
@@ -14,9 +13,12 @@
 
 
 def formatter(style: str) -> logging.Formatter | None:
-    """For the handler that `log.start` gives; none keeps the plain lines. A ValueError for another style."""
+    """The formatter for the handler of `log.start`; None keeps the plain lines.
+
+    Raises ValueError for an unknown style.
+    """
     if style not in STYLES:
-        raise ValueError(f"{style!r} is none of {', '.join(STYLES)}")
+        raise ValueError(f"{style!r} is not one of {', '.join(STYLES)}")
     if style == "plain":
         return None
     import structlog
@@ -41,7 +43,7 @@
 
 
 def add_fields(_: Any, __: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """What a line of ours carries beside its event."""
+    """Adds the part and the fields of a log call to structlog's event."""
     record = event["_record"]
     event["part"] = record.name.rpartition(".")[2]
     event.update(
--- a/lapispass/cli/seeds.py
+++ b/lapispass/cli/seeds.py
@@ -1,4 +1,4 @@
-"""The seed of all chance of a process."""
+"""The seed of all random numbers of a process."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def draw_seed() -> int:
-    """A seed for whoever gives none: 63 bits, never 0."""
+    """Draws a random seed of 63 bits, which is never 0."""
     return secrets.randbits(63) | 1
--- a/lapispass/store/__init__.py
+++ b/lapispass/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives crashes: who owns which slice."""
+"""State that survives crashes: the owner of each slice."""
--- a/lapispass/store/assignments.py
+++ b/lapispass/store/assignments.py
@@ -1,8 +1,9 @@
-"""The keeper of the assignments where no relay is: one SQLite file, written before anything is published.
+"""Stores the owners of slices for a controller without a relay, in one SQLite file.
 
-Each turn is one transaction with synchronous FULL in WAL mode: after a kill at any point, or a loss of
-power, the file opens with the last turn that was committed, whole. Every row has a keyed fingerprint of its
-own, so that a file that was spoilt is refused in one line and never half believed.
+A turn is written before it is published, as one transaction with synchronous FULL in WAL mode. After a kill
+at any point, or a loss of power, the file opens with all of the last committed turn. Every row has its
+own fingerprint, which covers its key: a corrupt file is rejected as a whole with a message of one line, and
+never used in part.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 
 
 class CorruptStore(Exception):
-    """The file can't be believed; the text says why in one line."""
+    """The file is corrupt or does not fit the settings; the message says why in one line."""
 
 
 class StoreUnavailable(Exception):
-    """The disk fails for now: nothing of the transaction stands, and it may be tried again."""
+    """The disk fails for the moment: the transaction was not written, and may be tried again."""
 
 
-# What may pass: a full disk, an error of input or output, memory. A file that is corrupt stays so, and one
-# that is locked is another controller's.
+# Errors that may pass: a full disk, an I/O error, a lack of memory. Others do not: a corrupt file stays
+# corrupt, and a locked file belongs to another controller.
 TRANSIENT_ERRORS = (
     apsw.CantOpenError,
     apsw.FullError,
@@ -40,12 +41,15 @@
 
 
 def fingerprint(*words: object) -> int:
-    """Over a row's words; SQLite holds signed numbers."""
+    """A hash of a row's values, of 63 bits because SQLite stores signed integers."""
     return xxhash.xxh3_64_intdigest("\0".join(str(word) for word in words).encode()) >> 1
 
 
 class Assignments:
-    """The file, open in this process alone."""
+    """The file, which only this process may open.
+
+    Opening it raises `CorruptStore`, or `StoreUnavailable` if the disk fails for the moment.
+    """
 
     def __init__(self, path: str | Path, slices: int) -> None:
         self.path, self.slices = str(path), slices
@@ -56,7 +60,7 @@
             raise kind(f"{self.path}: {type(error).__name__}: {error}") from None
         try:
             self.file.set_busy_timeout(1000)
-            # An exclusive lock: a second controller on the same file is refused, not mixed in.
+            # With an exclusive lock a second controller on the same file is rejected.
             for pragma in (
                 "PRAGMA locking_mode=EXCLUSIVE",
                 "PRAGMA journal_mode=WAL",
@@ -73,7 +77,7 @@
         self.turn = self._read_turn()
 
     def _create_or_verify(self) -> None:
-        """Makes a new file, or checks an old one from end to end."""
+        """Creates the tables of a new file, or verifies all of an existing one."""
         version = self.file.pragma("user_version")
         tables = self.file.execute("SELECT count(*) FROM sqlite_master").fetchall()[0][0]
         if version == 0 and tables == 0:
@@ -89,17 +93,17 @@
                 self._write_fact("slices", self.slices)
             return
         if version != SCHEMA_VERSION:
-            raise CorruptStore(f"{self.path}: schema {version}, this program has {SCHEMA_VERSION}")
+            raise CorruptStore(f"{self.path}: schema version is {version}, expected {SCHEMA_VERSION}")
         check_result = self.file.execute("PRAGMA quick_check(1)").fetchall()[0][0]
         if check_result != "ok":
             raise CorruptStore(f"{self.path}: {check_result}")
         facts = {}
         for name, value, stored_sum in self.file.execute("SELECT name, value, sum FROM fact"):
             if stored_sum != fingerprint(name, value):
-                raise CorruptStore(f"{self.path}: fact {name!r} is not as it was written")
+                raise CorruptStore(f"{self.path}: fact {name!r} does not match its fingerprint")
             facts[name] = value
         if facts.keys() != {"turn", "slices"}:
-            raise CorruptStore(f"{self.path}: facts are missing")
+            raise CorruptStore(f"{self.path}: expected exactly the facts 'turn' and 'slices'")
         if facts["slices"] != self.slices:
             raise CorruptStore(
                 f"{self.path}: holds {facts['slices']} slices, the operator file says {self.slices}"
@@ -110,7 +114,7 @@
                 or not 0 <= number < self.slices
                 or turn > facts["turn"]
             ):
-                raise CorruptStore(f"{self.path}: slice {number} is not as it was written")
+                raise CorruptStore(f"{self.path}: the row of slice {number} is corrupt")
 
     def _write_fact(self, name: str, value: int) -> None:
         self.file.execute(
@@ -121,12 +125,14 @@
         return int(str(self.file.execute("SELECT value FROM fact WHERE name = 'turn'").fetchall()[0][0]))
 
     def owners(self) -> dict[int, str | None]:
-        """Slices that have had an owner: the one that stands, or none in the empty step."""
+        """The current owner of each slice that has ever had one; None while its table is empty."""
         return {number: owner for number, owner in self.file.execute("SELECT slice, owner FROM line")}
 
     def commit(self, orders: Iterable[interface.Order]) -> bool:
-        """The lines that a turn sets, in one transaction; False where it sets none. On return they are on
-        the disk. Raises `StoreUnavailable` where the disk fails for now."""
+        """Writes the owners that a turn sets, in one transaction; they are on the disk on return.
+
+        False if the turn sets none. Raises `StoreUnavailable` if the disk fails for the moment.
+        """
         owners: dict[int, str | None] = {}
         for order in orders:
             match order:
@@ -157,13 +163,13 @@
             self._write_fact("turn", turn)
 
     def _roll_back(self) -> None:
-        """Ends a transaction that an error has left open."""
+        """Rolls back a transaction that an error has left open."""
         with suppress(apsw.Error):
             if self.file.in_transaction:
                 self.file.execute("ROLLBACK")
 
     def snapshot(self, path: str | Path) -> None:
-        """A copy that is whole, while this one is in use."""
+        """Writes a consistent copy of the file while it is in use."""
         target = apsw.Connection(str(path))
         with target.backup("main", self.file, "main") as backup:
             backup.step()
@@ -180,6 +186,6 @@
             raise StoreUnavailable(f"{self.path}: {type(error).__name__}: {error}") from None
 
     def close(self) -> None:
-        """Closes the file; what was committed is on the disk, whatever this meets."""
+        """Closes the file. Errors are ignored, as all committed turns are already on the disk."""
         with suppress(apsw.Error):
             self.file.close()
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: its verbs, exit statuses, and log styles."""
+"""The command line: its verbs, exit statuses and log styles."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
     record.fields = {"node": "n 1", "count": 3}
     as_json, as_logfmt = formatter("json"), formatter("logfmt")
     assert as_json is not None and as_logfmt is not None and formatter("plain") is None
-    told = json.loads(as_json.format(record))
-    assert (told["event"], told["part"], told["level"], told["node"], told["count"]) == (
+    fields = json.loads(as_json.format(record))
+    assert (fields["event"], fields["part"], fields["level"], fields["node"], fields["count"]) == (
         "node lost",
         "gate",
         "warning",
--- a/tests/test_front_starts.py
+++ b/tests/test_front_starts.py
@@ -1,4 +1,4 @@
-"""Starts of a gate and of an xDS controller while their address cannot be had for a moment."""
+"""A gate and an xDS controller start although their address is not available for a moment."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from lapispass.net.log import PartLogger
 from lapispass.xds.closing_server import ClosingServer
 
-MOMENTS = [
+TRANSIENT_FAILURES = [
     (Call.SOCKET, errno.ENFILE),
     (Call.SOCKET, errno.ENOBUFS),
     (Call.BIND, errno.EADDRINUSE),
     (Call.BIND, errno.EADDRNOTAVAIL),
     (Call.GETSOCKNAME, errno.ENOBUFS),
 ]
-NAMES = [f"{call.name}-{errno_name(error)}" for call, error in MOMENTS]
+TEST_IDS = [f"{call.name}-{errno_name(error)}" for call, error in TRANSIENT_FAILURES]
 GATE_FILE = """
 connection_class {{ name: "board" path_prefix: "/board" }}
 gate {{ name: "g0" listen: "{}:{}" slices: 2 }}
@@ -33,9 +33,9 @@
 """
 
 
-@pytest.mark.parametrize(("call", "error"), MOMENTS, ids=NAMES)
+@pytest.mark.parametrize(("call", "error"), TRANSIENT_FAILURES, ids=TEST_IDS)
 def test_an_xds_controller_waits_for_its_address(tmp_path: Path, call: Call, error: int) -> None:
-    """Guards against a start that ends with status 2 where its address is free again a moment later."""
+    """Guards against a start that exits with status 2 although the address is free a moment later."""
 
     async def test() -> None:
         faults = Faults(tmp_path / "faults")
@@ -47,10 +47,10 @@
 
 
 def test_a_gate_waits_for_its_address(tmp_path: Path) -> None:
-    """Guards against a start that ends with status 2 where its address is free again a moment later."""
+    """Guards against a start that exits with status 2 although the address is free a moment later."""
 
     async def test() -> None:
-        for call, error in MOMENTS:
+        for call, error in TRANSIENT_FAILURES:
             faults, address = Faults(tmp_path / "faults"), free_address()
             faults.set(call, error, times=5)
             file = tmp_path / "operator.textproto"
@@ -64,13 +64,13 @@
 async def test_an_xds_server_starts_though_its_socket_listens_again_with_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a start that ends with status 2 where the second listen(2), asyncio's own, fails."""
-    plain, failures = socket.socket.listen, [None, errno.ENOBUFS, errno.EADDRINUSE]
+    """Guards against a start that exits with status 2 because the second listen(2), by asyncio, fails."""
+    original_listen, failures = socket.socket.listen, [None, errno.ENOBUFS, errno.EADDRINUSE]
 
     def listen(self: socket.socket, *backlog: int) -> None:
         if failures and (error := failures.pop(0)):
             raise OSError(error, errno_name(error))
-        plain(self, *backlog)
+        original_listen(self, *backlog)
 
     monkeypatch.setattr(socket.socket, "listen", listen)
     server = ClosingServer([], config=Configuration().__for_server__())
--- a/tests/test_store_faults.py
+++ b/tests/test_store_faults.py
@@ -1,4 +1,4 @@
-"""What a controller has decided is owed to its store, whatever the disk does meanwhile."""
+"""A controller writes each of its decisions to the store, even if the disk fails for a while."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 """
 
 
-async def commits(running: Controller, least: int) -> None:
+async def wait_for_commits(running: Controller, least: int) -> None:
     async with asyncio.timeout(10):
         while (await running.counters()).get("host.commits", 0) < least:
             await asyncio.sleep(0.1)
 
 
-async def drained(folder: Path, call: Call, error: int) -> dict[int, str | None]:
-    """The owners that stand after a drain that was ordered while the disk failed."""
+async def owners_after_drain(folder: Path, call: Call, error: int) -> dict[int, str | None]:
+    """The owners in the store after a node was drained while the disk failed."""
     folder.mkdir()
     faults, address = Faults(folder / "faults"), free_address()
     file, listen = folder / "operator.textproto", "{}:{}".format(*address)
     file.write_text(FILE.format(n0="READY", listen=listen))
     async with process(("run", "-o", str(file)), faults, address, "listening", {}) as running:
-        await commits(running, 1)
+        await wait_for_commits(running, 1)
         faults.set(call, error)
         file.write_text(FILE.format(n0="DRAINING", listen=listen))
         running.signal(signal.SIGHUP)
@@ -44,7 +44,7 @@
         assert faults.injected(call) and running.process.returncode is None, running.lines
         before = (await running.counters())["host.commits"]
         faults.clear(call)
-        await commits(running, before + 1)
+        await wait_for_commits(running, before + 1)
         await asyncio.sleep(1.5)
         running.signal(signal.SIGTERM)
         assert await running.wait_for_exit() == 0
@@ -56,8 +56,8 @@
 
 @pytest.mark.time_limit(60)
 async def test_decisions_wait_for_a_disk_that_fails_for_a_while(tmp_path: Path) -> None:
-    # A full disk ended the controller.
+    # The controller used to exit when the disk was full.
     for call in (Call.WRITE, Call.SYNC):
         for error in (errno.ENOSPC, errno.EIO):
-            owners = await drained(tmp_path / f"{call.name}-{error}", call, error)
+            owners = await owners_after_drain(tmp_path / f"{call.name}-{error}", call, error)
             assert owners == dict.fromkeys(range(SLICES), "n1"), (call, error)
--- a/tests/test_xds_core.py
+++ b/tests/test_xds_core.py
@@ -507,7 +507,7 @@
     file = apsw.Connection(str(path))
     file.execute("UPDATE line SET owner = 'another' WHERE slice = 3")
     file.close()
-    with pytest.raises(CorruptStore, match="slice 3 is not as it was written"):
+    with pytest.raises(CorruptStore, match="the row of slice 3 is corrupt"):
         Assignments(path, 64)
     with pytest.raises(CorruptStore, match="holds 64 slices, the operator file says 65"):
         Assignments(fresh(), 65)
