--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -1,10 +1,9 @@
-"""The random drop test: xDS clients whose streams are cut at random under a rolling deploy, each rule
-checked.
+"""The random drop test: cuts xDS streams at random during a rolling deploy, and checks every rule.
 
-A real desk and store on loopback, stand-in clients of both protocols, some of them faulty; nodes are
-recorders that carry a write out some time after it was sent, within the longest life of a write. After each
-version that a client applies, and at the end, the rules are checked on what the nodes saw. Everything that
-led to a breach is kept.
+The xDS server and the store are real; the clients, of both protocols and some of them faulty, are stand-ins.
+The nodes only record writes, which they execute some time after sending, within the longest lifetime of a
+write. The rules are checked on what the nodes have recorded, after each version that a client applies and at
+the end. The events that led to a broken rule are kept.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 
 
 def operator_file(states: dict[str, str], store: str, started: dict[str, int]) -> str:
-    """An operator file of a small fleet."""
+    """The text of an operator file for a small fleet."""
     nodes = "\n".join(
         f'node {{ id: "{name}" address: "127.0.0.1:{9000 + index}" zone: "{"east" if index % 2 else "west"}" '
         f"state: {state} started_unix_ms: {started.get(name, 0)} }}"
@@ -65,20 +64,20 @@
 
 @dataclass(frozen=True)
 class Duration:
-    """How long a day lasts: `seconds`, and on until the counts are reached, but `most_s` at most.
+    """How long a run lasts: `seconds`, then until the counts are reached, but at most `most_s`.
 
-    A count that depends on the machine's speed is reached later on a busy machine; one that is not reached by
-    `most_s` is for the caller to see in the verdict. A broken rule ends the day after `seconds`.
+    Counts that depend on the machine's speed are reached later on a busy machine. If one is not reached by
+    `most_s`, the caller sees that in the result. After a broken rule the run ends after `seconds`.
     """
 
     seconds: float = 4.0
     most_s: float = 4.0
-    writes: int = 0  # carried out and judged
+    writes: int = 0  # executed and checked
     handovers: int = 0
     drops: int = 0
 
     def is_over(self, elapsed_s: float, verdict: RunResult, writes: int) -> bool:
-        """Whether a day that began `elapsed_s` ago and saw so much ends now."""
+        """Whether a run that started `elapsed_s` ago and reached these counts ends now."""
         if elapsed_s < self.seconds:
             return False
         if elapsed_s >= self.most_s or verdict.breaches:
@@ -90,7 +89,7 @@
 
 @dataclass
 class RunResult:
-    """What a seed came to."""
+    """The result of one seed."""
 
     seed: int
     breaches: list[Breach]
@@ -114,7 +113,7 @@
 
 
 class Run:
-    """One seed."""
+    """One run with one seed."""
 
     def __init__(self, seed: int, folder: Path, duration: Duration) -> None:
         self.chance, self.folder, self.duration = random.Random(seed), folder, duration
@@ -127,7 +126,7 @@
         self.started: dict[str, int] = {}
         self.file = folder / "operator.textproto"
         self.clients: list[XdsClient] = []
-        self.thawed_at: dict[str, int] = {}  # when each client last went on
+        self.thawed_at: dict[str, int] = {}  # by client: when it was last resumed
         self.sent = 0
         self.in_flight: set[asyncio.Task[None]] = set()
         self.host: Host
@@ -138,7 +137,7 @@
         self.checker.note(clock_us(), text)
 
     async def start(self) -> None:
-        """The controller, or the controller anew: under another port, with the same store."""
+        """Starts the controller, or starts it again on another port with the same store."""
         self.file.write_text(operator_file(self.states, "store", self.started))
         self.host = Host(operator.read(self.file), self.verdict.seed + 1)
         turned = self.host.xds_server.turned
@@ -162,7 +161,7 @@
             client.address = self.address
 
     async def kill(self) -> None:
-        """The controller is gone without a word."""
+        """Ends the controller without any closing message."""
         self.host.xds_server.turned = lambda events, orders: None  # type: ignore[method-assign]
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
@@ -171,7 +170,7 @@
 
     async def play(self) -> RunResult:
         chance, verdict = self.chance, self.verdict
-        store = Assignments(self.folder / "store", SLICES)  # what an earlier life has left
+        store = Assignments(self.folder / "store", SLICES)  # written by an earlier incarnation
         store.commit([interface.SetTableEntry(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
         store.close()
         for number in range(SLICES):
@@ -221,7 +220,7 @@
         return verdict
 
     async def inject_fault(self) -> None:
-        """One thing that goes wrong, or one step of the deploy."""
+        """Injects one fault or makes one step of the deploy."""
         chance = self.chance
         match chance.choices(["drop", "deploy", "freeze", "thaw", "kill"], [8, 5, 1, 2, 0.15])[0]:
             case "drop":
@@ -252,12 +251,12 @@
                 await self.start()
 
     def freeze(self, client: XdsClient) -> None:
-        """It stands still from now on."""
+        """Pauses a client."""
         client.frozen = True
         self.note(f"froze {client.name}")
 
     def thaw(self) -> None:
-        """Whoever stood still goes on, and begins by reading what has come meanwhile."""
+        """Resumes all paused clients, which first read what has arrived in the meantime."""
         for client in self.clients:
             if client.frozen:
                 client.frozen = False
@@ -265,7 +264,7 @@
                 self.note(f"thawed {client.name}")
 
     async def send_writes(self) -> None:
-        """Writes of every client, each numbered, each sent once."""
+        """Sends writes of random clients, each numbered and sent once."""
         while True:
             await asyncio.sleep(0.004)
             client = self.chance.choice(self.clients)
@@ -280,9 +279,10 @@
                 task.add_done_callback(self.in_flight.discard)
 
     async def execute_write(self, node: str, key: str, number: str, sent: int) -> None:
-        """A node carries a write out at some time of its life, or never: also where this process was late.
+        """Executes a write at a random time within its lifetime, or never if this process runs late.
 
-        Its life runs from the client's decision: this task may begin much later, behind a blocking commit.
+        The lifetime starts with the client's decision, as this task may start much later, after a blocking
+        commit.
         """
         await asyncio.sleep(self.chance.uniform(0, WRITE_LIFETIME_MS * 0.8) / 1000)
         if clock_us() - sent > WRITE_LIFETIME_MS * 1000:
@@ -290,7 +290,7 @@
         self.checker.carry(clock_us(), node, key, number)
 
     async def sample_clients(self) -> None:
-        """What each client without faults would pick now: rules 1 and 3, and what waits for it: rule 5."""
+        """Checks the picks of clients without faults (rules 1 and 3) and what waits for them (rule 5)."""
         while True:
             await asyncio.sleep(0.02)
             now = clock_us()
@@ -316,7 +316,7 @@
                 self.checker.waiting(now, client.name, waiting)
 
     def check(self, client: XdsClient | None = None) -> None:
-        """All rules, on all that was seen so far; a breach is kept once, with what led to it."""
+        """Checks all rules on everything recorded so far, until the first breach; keeps its events."""
         if self.verdict.breaches or (client is not None and len(self.checker.carried) == self.checked):
             return
         self.checked = len(self.checker.carried)
@@ -326,13 +326,13 @@
 
 
 async def play(seed: int, duration: Duration) -> RunResult:
-    """One seed, in a folder of its own."""
+    """Runs one seed, in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return await Run(seed, Path(folder), duration).play()
 
 
 def main(first: int, seeds: int, seconds: float, at_once: int) -> int:
-    """Many seeds; a line each as it ends, the sum last. 1 where a rule was broken."""
+    """Runs many seeds; prints one line per seed and a summary. Returns 1 if a rule was broken."""
     logging.getLogger("lapispass").setLevel(logging.ERROR)
 
     async def run_all() -> list[RunResult]:
--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -1,10 +1,9 @@
-"""Several controllers killed and paused at random over one coordination service, judged by what nodes
-carried out.
+"""Kills and pauses controllers that share a coordination service, and checks the writes that nodes executed.
 
-The controllers are real processes (`lapispass run`), so that a pause is a real one (SIGSTOP); the service,
-the clients and the nodes' recorders are stand-ins in this process. What was published, and when, is read
-off the service itself: a controller may tell nobody before its transaction is there. `python -m lapispass
-lab peers --seconds 600`.
+The controllers are real processes (`lapispass run`), so that they can be paused by SIGSTOP. The service, the
+clients and the nodes, which only record writes, are stand-ins in this process. What was published, and when,
+is taken from the service itself, because a controller may publish nothing before its transaction is there.
+Run it with `python -m lapispass lab peers --seconds 600`.
 """
 
 from __future__ import annotations
@@ -42,7 +41,7 @@
 
 @dataclass
 class RunResult:
-    """What a run came to."""
+    """The result of a run: broken rules, counts of events, and the longest time a slice was unserved."""
 
     seed: int
     breaches: list[Breach] = field(default_factory=list)
@@ -58,7 +57,7 @@
 
 
 class Run:
-    """One run."""
+    """One run of several controllers over one coordination service."""
 
     def __init__(
         self, seed: int, seconds: float, controllers: int, folder: Path, pauses: bool = True
@@ -103,7 +102,7 @@
         log.close()
 
     def observe_puts(self, put: Callable[[bytes, bytes, int], None]) -> Callable[[bytes, bytes, int], None]:
-        """What the service is told of slices: owners as published, epochs that may only rise."""
+        """Wraps the service's put, to record published owners and to check that epochs never decrease."""
 
         def put_and_check(key: bytes, value: bytes, lease: int) -> None:
             put(key, value, lease)
@@ -111,7 +110,7 @@
                 number, record = int(key[len(SLICE_KEY) :]), json.loads(value)
                 now = clock_us()
                 if record["epoch"] < self.epochs.get(number, 0):
-                    self.checker.breach("2", record["holder"], now, f"epoch of slice {number} went back")
+                    self.checker.breach("2", record["holder"], now, f"epoch of slice {number} decreased")
                 self.verdict.counts["takeovers"] += record["epoch"] > self.epochs.get(number, 0)
                 self.epochs[number] = record["epoch"]
                 if self.owners.get(number, "") != record["owner"]:
@@ -122,7 +121,7 @@
         return put_and_check
 
     async def play(self) -> RunResult:
-        """Starts all, makes trouble for as long as told, and judges."""
+        """Starts everything, injects faults for the given time, and checks the rules."""
         await self.service.start()
         self.service.state._put = self.observe_puts(self.service.state._put)  # type: ignore[method-assign, assignment]
         for name in self.names:
@@ -162,27 +161,26 @@
         return self.verdict
 
     async def wait_until_served(self, seconds: float) -> None:
-        """Every slice can be written to by every client without faults; a TimeoutError where it does not
-        come to that."""
+        """Waits until every client can write to every slice; raises TimeoutError if that takes too long."""
         async with asyncio.timeout(seconds):
             while not all(client.writes_to(number) for client in self.clients for number in range(SLICES)):
                 self.resume_and_reconnect()
                 await asyncio.sleep(0.05)
 
     def resume_and_reconnect(self) -> None:
-        """Clients of a controller that is not there go to another; pauses end when their time has come."""
+        """Resumes controllers whose pause is over; clients without a stream turn to one that is running."""
         now = asyncio.get_running_loop().time()
         for name in [name for name, until in self.paused.items() if until <= now]:
             del self.paused[name]
             self.processes[name].send_signal(signal.SIGCONT)
-            self.checker.note(clock_us(), f"controller {name} goes on")
+            self.checker.note(clock_us(), f"controller {name} resumed")
         up = [name for name in self.names if name not in self.paused and self.processes[name].poll() is None]
         for index, client in enumerate(self.clients):
             if up and client.stream is None:
                 client.address = f"127.0.0.1:{self.ports[up[(index + client.streams) % len(up)]]}"
 
     def stop_faults(self) -> None:
-        """No trouble any more."""
+        """Ends all faults, and starts the controllers that were killed."""
         for name in self.paused:
             self.paused[name] = 0
         self.resume_and_reconnect()
@@ -193,7 +191,7 @@
                 self.start(name)
 
     def inject_fault(self) -> None:
-        """One thing that goes wrong, or one step of a deploy; two controllers in three may be out at once."""
+        """Injects one fault or makes one step of a deploy. All controllers but one may be out at once."""
         chance, counts = self.chance, self.verdict.counts
         self.resume_and_reconnect()
         for name in self.names:
@@ -244,7 +242,7 @@
         self.service.faults.silent = False
 
     async def send_writes(self) -> None:
-        """Each write is numbered and sent once, to where its client says."""
+        """Sends writes, each numbered and sent once, to the node that a random client would choose."""
         while True:
             await asyncio.sleep(0.005)
             client, key = self.chance.choice(self.clients), f"k{self.chance.randrange(80)}"
@@ -261,7 +259,7 @@
             self.checker.carry(clock_us(), node, key, number)
 
     async def sample_clients(self) -> None:
-        """Rule 1 at clients whose stream stands."""
+        """Checks rule 1 at the clients that have a stream and all tables."""
         while True:
             await asyncio.sleep(0.05)
             now = clock_us()
@@ -274,13 +272,13 @@
 
 
 async def play(seed: int, seconds: float, controllers: int = 3, pauses: bool = True) -> RunResult:
-    """One run in a folder of its own."""
+    """Runs once, in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         return await Run(seed, seconds, controllers, Path(folder), pauses).play()
 
 
 def main(seed: int, seconds: float, controllers: int) -> int:
-    """One run; 1 where a rule was broken."""
+    """Runs once and prints the result; returns 1 if a rule was broken."""
     verdict = asyncio.run(play(seed, seconds, controllers))
     print(verdict)
     return 1 if verdict.breaches else 0
--- a/lapispass/standins/coordination.py
+++ b/lapispass/standins/coordination.py
@@ -1,9 +1,9 @@
-"""A coordination service as etcd's v3 JSON gateway is publicly described: HTTP/1.1, base64 keys and values.
+"""A stand-in for a coordination service, which speaks etcd's v3 JSON gateway as publicly documented.
 
-Range, transactions (compare-and-swap), leases that end, watches that resume from a revision and report
-compaction. One process, in memory: what is decided here is trusted to be the truth, as a quorum's would be.
-Faults are scripted: slow, silent, answers lost after they were carried out, compacted, and time that stands
-still.
+It speaks HTTP/1.1 with base64 keys and values. It offers ranges, transactions (compare-and-swap), leases that
+expire, and watches that resume from a revision and report compaction. It keeps all state in memory in one
+process, so its decisions are final, as those of a quorum would be. Faults can be injected: slow or missing
+answers, answers lost after the call was carried out, compaction, and time that stands still.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class KeyValue(NamedTuple):
-    """A key as it stands."""
+    """The current value of a key, with its revisions, version and lease."""
 
     value: bytes
     create_revision: int
@@ -31,7 +31,7 @@
 
 
 class Change(NamedTuple):
-    """What a revision did to a key; no value: it was deleted."""
+    """The change of a key at a revision; `kv` is None if the key was deleted."""
 
     revision: int
     key: bytes
@@ -40,11 +40,13 @@
 
 @dataclass
 class State:
-    """The service's memory: pure, told the time."""
+    """The state of the service; callers pass the current time."""
 
     revision: int = 1
     keys: dict[bytes, KeyValue] = field(default_factory=dict)
-    leases: dict[int, tuple[int, int]] = field(default_factory=dict)  # id: ttl in us, ends at
+    leases: dict[int, tuple[int, int]] = field(
+        default_factory=dict
+    )  # by id: time to live in us, when it ends
     history: list[Change] = field(default_factory=list)
     compacted: int = 0
     next_lease: int = 1000
@@ -75,7 +77,7 @@
         self.history.append(Change(self.revision, key, None))
 
     def txn(self, request: dict[str, Any]) -> dict[str, Any]:
-        """All or nothing, at one revision."""
+        """Carries out all operations of a transaction at one revision, or none."""
         succeeded = all(self._is_met(compare) for compare in request.get("compare", ()))
         operations = request.get("success" if succeeded else "failure", ())
         leases = [
@@ -140,7 +142,7 @@
         return self.next_lease
 
     def renew(self, lease: int, now: int) -> int:
-        """What is left, in seconds; 0 where there is no such lease."""
+        """Renews a lease; returns its time to live in seconds, 0 if there is no such lease."""
         if lease not in self.leases:
             return 0
         ttl = self.leases[lease][0]
@@ -148,7 +150,7 @@
         return ttl // 1_000_000
 
     def revoke(self, lease: int) -> None:
-        """Its keys go with it, at one revision."""
+        """Ends a lease, and deletes its keys at one revision."""
         if self.leases.pop(lease, None) is None:
             return
         keys = [key for key, kv in self.keys.items() if kv.lease == lease]
@@ -195,17 +197,17 @@
 
 @dataclass
 class Faults:
-    """What goes wrong, until it is taken back."""
+    """The faults that are injected until they are reset."""
 
     slow_s: float = 0.0
-    silent: bool = False  # takes connections and calls, and answers nothing; watches say nothing
-    lose_answers: int = 0  # so many next transactions are carried out, and their connection is cut
-    refuse: bool = False  # every call gets 503
-    frozen: bool = False  # its time stands still: no lease ends
+    silent: bool = False  # accepts connections and calls but never answers; watches send nothing
+    lose_answers: int = 0  # this many transactions are carried out, but cut their connection
+    refuse: bool = False  # every call is answered with status 503
+    frozen: bool = False  # time stands still: no lease expires
 
 
 class CoordinationServer(Party):
-    """The service on loopback."""
+    """The service, listening on loopback."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -263,7 +265,7 @@
             connection.start_next_cycle()
 
     def answer_call(self, target: str, request: dict[str, Any]) -> tuple[int, dict[str, Any]]:
-        """One call; its answer."""
+        """Carries out a call; returns the status and body of its answer."""
         state, now = self.state, clock_us()
         if not self.faults.frozen:
             state.expire(now)
@@ -299,7 +301,10 @@
         writer: asyncio.StreamWriter,
         request: dict[str, Any],
     ) -> None:
-        """Changes from a revision on, one JSON object a line; ends where they are compacted away."""
+        """Sends the changes from a revision on, one JSON object per line.
+
+        The watch is cancelled if the next changes were compacted.
+        """
         key, end = decode_base64(request["key"]), decode_base64(request.get("range_end", ""))
         next_revision = int(request.get("start_revision", 0)) or self.state.revision + 1
         writer.write(answer(connection, 200, None))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,5 +1,5 @@
-"""Shared controllers: pure membership, ownership and takeover, and several hosts on one stand-in
-coordination service."""
+"""Controllers that share nodes: membership, ownership and takeover, and hosts that share a coordination
+service, which is a stand-in."""
 
 from __future__ import annotations
 
@@ -48,10 +48,10 @@
 def test_a_session_ends_by_its_holders_clock_before_the_service_ends_it() -> None:
     session = Session(margin_us=SECOND // 10)
     assert not session.is_valid(NOW)
-    session.granted(NOW, 7, 3 * SECOND)  # sent then; the service counts from when it came, which is later
+    session.granted(NOW, 7, 3 * SECOND)  # the service counts from when the request arrived, later
     assert session.is_valid(NOW + 2 * SECOND) and not session.is_valid(NOW + 3 * SECOND - SECOND // 10 - 1)
-    assert not session.renewed(NOW + SECOND, 8, 3 * SECOND)  # of another lease
-    assert not session.renewed(NOW + SECOND, 7, 0)  # the service knows it no more
+    assert not session.renewed(NOW + SECOND, 8, 3 * SECOND)  # the answer is for another lease
+    assert not session.renewed(NOW + SECOND, 7, 0)  # the service no longer has the lease
     assert session.renewed(NOW + SECOND, 7, 3 * SECOND) and session.is_valid(NOW + 3 * SECOND)
     session.end()
     assert not session.is_valid(NOW) and session.times_lost == 1
@@ -59,10 +59,10 @@
 
 def test_another_boot_under_the_same_name_has_gone_and_come() -> None:
     members = Members()
-    come, gone = members.update({"a": (1.0, "x")}, NOW)
-    assert [m.name for m in come] == ["a"] and not gone
-    come, gone = members.update({"a": (1.0, "y")}, NOW + 1)
-    assert [m.boot for m in gone] == ["x"] and [m.boot for m in come] == ["y"]
+    joined, left = members.update({"a": (1.0, "x")}, NOW)
+    assert [m.name for m in joined] == ["a"] and not left
+    joined, left = members.update({"a": (1.0, "y")}, NOW + 1)
+    assert [m.boot for m in left] == ["x"] and [m.boot for m in joined] == ["y"]
     members.update({}, NOW + 2)
     assert not members.alive()
     members.forget(NOW + 3)
@@ -88,98 +88,100 @@
 
 
 def test_a_slice_of_a_dead_one_is_claimed_after_the_wait_and_under_a_higher_epoch() -> None:
-    made = Takeover(1, "a/1", linger_us=300)
-    made.received(0, Record(4, "b/1", "n0", 1.0, False, 10))
+    takeover = Takeover(1, "a/1", linger_us=300)
+    takeover.received(0, Record(4, "b/1", "n0", 1.0, False, 10))
     free = lambda number: False  # noqa: E731
-    assert not made.evaluate(NOW, {"a": 1.0, "b": 1.0}, {}, True, free).claims
-    work = made.evaluate(NOW, {"a": 1.0}, {"b/1": NOW}, True, free)
-    assert not work.claims and work.retry_at == NOW + 300
-    claims = made.evaluate(NOW + 300, {"a": 1.0}, {"b/1": NOW}, True, free).claims
+    assert not takeover.evaluate(NOW, {"a": 1.0, "b": 1.0}, {}, True, free).claims
+    actions = takeover.evaluate(NOW, {"a": 1.0}, {"b/1": NOW}, True, free)
+    assert not actions.claims and actions.retry_at == NOW + 300
+    claims = takeover.evaluate(NOW + 300, {"a": 1.0}, {"b/1": NOW}, True, free).claims
     assert claims[0].record == Record(5, "a/1", "n0", 1.0, False, 10) and claims[0].revision == 10
 
 
 def test_without_a_session_nothing_is_ours() -> None:
-    made = Takeover(2, "a/1", 0)
-    made.received(0, Record(1, "a/1", None, 1.0, False, 3))
-    assert made.evaluate(NOW, {"a": 1.0}, {}, True, lambda n: False).start == [0]
-    work = made.evaluate(NOW, {"a": 1.0}, {}, False, lambda n: False)
-    assert work.stop == [0] and not work.claims and not made.acting
+    takeover = Takeover(2, "a/1", 0)
+    takeover.received(0, Record(1, "a/1", None, 1.0, False, 3))
+    assert takeover.evaluate(NOW, {"a": 1.0}, {}, True, lambda n: False).start == [0]
+    actions = takeover.evaluate(NOW, {"a": 1.0}, {}, False, lambda n: False)
+    assert actions.stop == [0] and not actions.claims and not takeover.acting
 
 
 def test_a_holder_that_died_before_we_came_is_dead_all_the_same() -> None:
-    """Found by killing two of three: slices of a life that nobody left had seen alive were never claimed."""
-    made = Takeover(2, "a/1", linger_us=300)
-    made.received(0, Record(4, "b/old", "n0", 1.0, False, 10))
-    made.received(1, Record(4, "b/new", "n0", 1.0, False, 11))
-    assert made.unseen_dead_holders({"a/1", "b/new"}, {}) == {"b/old"}
-    assert made.unseen_dead_holders({"a/1", "b/new"}, {"b/old": NOW}) == set()
+    """Found by killing two of three controllers: slices were never claimed if the remaining one had not seen
+    their holder alive."""
+    takeover = Takeover(2, "a/1", linger_us=300)
+    takeover.received(0, Record(4, "b/old", "n0", 1.0, False, 10))
+    takeover.received(1, Record(4, "b/new", "n0", 1.0, False, 11))
+    assert takeover.unseen_dead_holders({"a/1", "b/new"}, {}) == {"b/old"}
+    assert takeover.unseen_dead_holders({"a/1", "b/new"}, {"b/old": NOW}) == set()
 
 
 def test_an_older_record_than_known_is_passed_over_and_a_holder_unheard_of_is_not_dead() -> None:
-    made = Takeover(1, "a/1", 0)
-    made.received(0, Record(5, "b/1", "n1", 1.0, False, 9))
-    made.received(0, Record(4, "a/1", "n0", 1.0, False, 8))
-    assert made.records[0].epoch == 5
+    takeover = Takeover(1, "a/1", 0)
+    takeover.received(0, Record(5, "b/1", "n1", 1.0, False, 9))
+    takeover.received(0, Record(4, "a/1", "n0", 1.0, False, 8))
+    assert takeover.records[0].epoch == 5
     assert (
-        made.claimable_at(made.records[0], {}, {"a"}) == NEVER
-        and made.claimable_at(NEVER_WRITTEN, {}, {"a"}) == 0
+        takeover.claimable_at(takeover.records[0], {}, {"a"}) == NEVER
+        and takeover.claimable_at(NEVER_WRITTEN, {}, {"a"}) == 0
     )
 
 
 @given(some.integers(0, 5000))
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_random_days_never_have_two_that_act_on_one_slice(seed: int) -> None:
-    """A plain model of the service beside several takeovers: claims race, watches are late, sessions end."""
+    """Several takeovers run against a simple model of the service: claims race, watches are late, sessions
+    end."""
     chance, now = random.Random(seed), NOW
-    truth: dict[int, Record] = {}
+    stored: dict[int, Record] = {}
     revision = 0
     names = ["a/1", "b/1", "c/1"]
-    made = {name: Takeover(6, name, linger_us=50) for name in names}
+    takeovers = {name: Takeover(6, name, linger_us=50) for name in names}
     session = dict.fromkeys(names, True)
     dead: dict[str, int] = {}
-    lag: dict[str, list[tuple[int, Record]]] = {name: [] for name in names}
+    undelivered: dict[str, list[tuple[int, Record]]] = {name: [] for name in names}
     epochs: dict[int, int] = {}
     for _ in range(120):
         now += 10
         if chance.random() < 0.03 and sum(session.values()) > 1:
             victim = chance.choice([name for name in names if session[name]])
-            session[victim], dead[victim] = False, now  # its own clock says so before the service does
-            made[victim].evaluate(now, {}, {}, False, lambda n: False)
+            session[victim], dead[victim] = False, now  # by its own clock it ends before the service says so
+            takeovers[victim].evaluate(now, {}, {}, False, lambda n: False)
         alive = {name.split("/")[0]: 1.0 for name in names if name not in dead}
         for name in names:
             for _ in range(chance.randrange(3)):
-                if lag[name]:
-                    made[name].received(*lag[name].pop(0))
+                if undelivered[name]:
+                    takeovers[name].received(*undelivered[name].pop(0))
             if not session[name]:
                 continue
-            work = made[name].evaluate(now, alive, dead, True, lambda n: chance.random() < 0.2)
-            for claim in [*work.claims, *work.releases]:
-                if truth.get(claim.slice, NEVER_WRITTEN).revision == claim.revision:  # compare and swap
+            actions = takeovers[name].evaluate(now, alive, dead, True, lambda n: chance.random() < 0.2)
+            for claim in [*actions.claims, *actions.releases]:
+                if stored.get(claim.slice, NEVER_WRITTEN).revision == claim.revision:  # compare and swap
                     revision += 1
-                    truth[claim.slice] = claim.record._replace(revision=revision)
+                    stored[claim.slice] = claim.record._replace(revision=revision)
                     assert claim.record.epoch >= epochs.get(claim.slice, 0)
                     epochs[claim.slice] = claim.record.epoch
-                    made[name].received(claim.slice, truth[claim.slice])
+                    takeovers[name].received(claim.slice, stored[claim.slice])
                     for other in names:
-                        lag[other].append((claim.slice, truth[claim.slice]))
+                        undelivered[other].append((claim.slice, stored[claim.slice]))
         for number in range(6):
             acting = [
                 name
                 for name in names
                 if session[name]
-                and number in made[name].acting
-                and truth.get(number, NEVER_WRITTEN).holder == name
+                and number in takeovers[name].acting
+                and stored.get(number, NEVER_WRITTEN).holder == name
             ]
             assert len(acting) <= 1
 
 
-# the service
+# The client of the coordination service
 
 
 async def test_the_client_reads_swaps_watches_and_says_what_it_does_not_know() -> None:
-    there = CoordinationServer()
-    await there.start()
-    service = CoordinationClient(there.address, call_timeout_us=300_000)
+    server = CoordinationServer()
+    await server.start()
+    service = CoordinationClient(server.address, call_timeout_us=300_000)
     lease = await service.grant_lease(1)
     first = await service.compare_and_swap([Condition("/a", 0)], [Put("/a", b"1", lease), Put("/b", b"x")])
     assert (
@@ -199,30 +201,30 @@
 
     following = asyncio.create_task(follow())
     await until(lambda: ("/b", b"y") in seen)
-    await until(lambda: ("/a", None) in seen)  # its lease has ended
+    await until(lambda: ("/a", None) in seen)  # deleted with its lease
     assert await service.renew_lease(lease) == 0
-    there.faults.lose_answers = 1
+    server.faults.lose_answers = 1
     try:
         await service.compare_and_swap([], [Put("/c", b"z")])
-        raise AssertionError("an answer came")
+        raise AssertionError("the call got an answer although it was to be lost")
     except OutcomeUnknown:
         pass
-    assert (await service.read_prefix("/c"))[1]["/c"].value == b"z"  # carried out all the same
+    assert (await service.read_prefix("/c"))[1]["/c"].value == b"z"  # carried out, though the answer was lost
     await service.compare_and_swap([], [Delete("/c")])
-    there.state.compact(there.state.revision)
+    server.state.compact(server.state.revision)
     try:
         async for _ in service.watch("/", 2, 0):
             pass
-        raise AssertionError("not compacted")
+        raise AssertionError("the watch was not cancelled for compaction")
     except RevisionCompacted:
         pass
     assert revision > 1
     following.cancel()
     service.close()
-    there.stop()
+    server.stop()
 
 
-# hosts
+# Hosts
 
 FILE = """
 xds {{ listen: "127.0.0.1:0" late_ms: 400 new_per_s: 1000 burst: 1000 }}
@@ -236,8 +238,8 @@
 """
 
 
-class Shared:
-    """Some controllers and their service, in the test's loop."""
+class Fleet:
+    """Several controllers and their coordination service, in the event loop of the test."""
 
     def __init__(self, path: Path) -> None:
         self.path, self.service = path, CoordinationServer()
@@ -245,19 +247,19 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.n0 = "READY"
 
-    def file(self, name: str) -> Path:
+    def write_operator_file(self, name: str) -> Path:
         file = self.path / f"{name}.textproto"
         file.write_text(FILE.format(name=name, address=self.service.address, n0=self.n0))
         return file
 
     async def start(self, name: str) -> SharedHost:
-        host = self.hosts[name] = SharedHost(operator.read(self.file(name)), 5)
+        host = self.hosts[name] = SharedHost(operator.read(self.write_operator_file(name)), 5)
         self.tasks[name] = asyncio.create_task(host.run())
         await until(lambda: host.xds_server.address or self.tasks[name].done())
         return host
 
     async def kill(self, name: str) -> None:
-        """Without a word: its lease runs out by itself."""
+        """Ends a controller without revoking its lease, which expires by itself."""
         self.hosts.pop(name)
         task = self.tasks.pop(name)
         await ended(task)
@@ -265,15 +267,15 @@
     def drain(self, state: str = "DRAINING") -> None:
         self.n0 = state
         for name, host in self.hosts.items():
-            self.file(name)
+            self.write_operator_file(name)
             host.read_again()
 
     def acting(self) -> Counter[int]:
         return Counter(number for host in self.hosts.values() for number in host.takeover.acting
                        if host.lease.is_valid())  # fmt: skip
 
-    def whole(self) -> bool:
-        """Each slice is held by just one, and has an owner."""
+    def is_complete(self) -> bool:
+        """Whether each slice is held by exactly one controller and has an owner at all of them."""
         owners = [host.snapshot.owners for host in self.hosts.values()]
         return (
             set(self.acting().values()) == {1}
@@ -283,103 +285,103 @@
 
 
 @asynccontextmanager
-async def shared(path: Path, *names: str) -> AsyncIterator[Shared]:
-    stand = Shared(path)
-    await stand.service.start()
+async def running_fleet(path: Path, *names: str) -> AsyncIterator[Fleet]:
+    fleet = Fleet(path)
+    await fleet.service.start()
     try:
         for name in names:
-            await stand.start(name)
-        await until(stand.whole, 15)
-        yield stand
+            await fleet.start(name)
+        await until(fleet.is_complete, 15)
+        yield fleet
     finally:
-        for name in list(stand.hosts):
-            await stand.kill(name)
-        stand.service.stop()
+        for name in list(fleet.hosts):
+            await fleet.kill(name)
+        fleet.service.stop()
 
 
 async def test_one_is_killed_and_the_other_takes_its_slices_and_serves_them(tmp_path: Path) -> None:
-    async with shared(tmp_path, "a", "b") as stand:
-        assert {len(host.takeover.acting) for host in stand.hosts.values()} != {12}
-        client = XdsClient(stand.hosts["b"].xds_server.address, "c", 1)
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        assert {len(host.takeover.acting) for host in fleet.hosts.values()} != {12}
+        client = XdsClient(fleet.hosts["b"].xds_server.address, "c", 1)
         running = asyncio.create_task(client.run())
         await until(lambda: all(client.writes_to(number) for number in range(12)))
-        before = dict(stand.hosts["b"].snapshot.owners)
-        epochs = {n: r.epoch for n, r in stand.hosts["b"].takeover.records.items()}
-        dead = set(stand.hosts["a"].takeover.acting)
-        await stand.kill("a")
-        await until(stand.whole, 10)
-        host = stand.hosts["b"]
-        assert host.snapshot.owners == before  # tables are kept
+        before = dict(fleet.hosts["b"].snapshot.owners)
+        epochs = {n: r.epoch for n, r in fleet.hosts["b"].takeover.records.items()}
+        dead = set(fleet.hosts["a"].takeover.acting)
+        await fleet.kill("a")
+        await until(fleet.is_complete, 10)
+        host = fleet.hosts["b"]
+        assert host.snapshot.owners == before  # the tables are unchanged
         assert all(host.takeover.records[n].epoch == epochs[n] + (n in dead) for n in range(12))
-        stand.drain()  # what was taken is served: handovers go on
+        fleet.drain()  # slices that were taken over can be handed over
         await until(lambda: all(client.writes_to(n) in ("n1", "n2") for n in range(12)), 10)
         await ended(running)
 
 
-async def test_a_mark_waits_for_the_clients_of_the_other_controller(tmp_path: Path) -> None:
-    async with shared(tmp_path, "a", "b") as stand:
-        clients = [XdsClient(host.xds_server.address, f"c{name}", 1) for name, host in stand.hosts.items()]
+async def test_a_barrier_waits_for_the_clients_of_the_other_controller(tmp_path: Path) -> None:
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        clients = [XdsClient(host.xds_server.address, f"c{name}", 1) for name, host in fleet.hosts.items()]
         running = [asyncio.create_task(client.run()) for client in clients]
         await until(lambda: all(c.writes_to(n) for c in clients for n in range(12)))
         clients[1].faults.late_s = 0.05
-        stand.drain()
+        fleet.drain()
         await until(lambda: all(c.writes_to(n) in ("n1", "n2") for c in clients for n in range(12)), 15)
         await ended(*running)
 
 
 async def test_a_newcomer_gets_its_share_without_a_wait_and_one_that_leaves_lets_go(tmp_path: Path) -> None:
-    async with shared(tmp_path, "a", "b") as stand:
-        await stand.start("c")
-        await until(lambda: stand.whole() and stand.hosts["c"].takeover.acting, 10)
-        begun = asyncio.get_running_loop().time()
-        await stand.hosts["c"].leave()
-        await asyncio.gather(stand.tasks["c"], return_exceptions=True)
-        del stand.hosts["c"], stand.tasks["c"]
-        await until(stand.whole, 10)
-        assert asyncio.get_running_loop().time() - begun < 3
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        await fleet.start("c")
+        await until(lambda: fleet.is_complete() and fleet.hosts["c"].takeover.acting, 10)
+        started_at = asyncio.get_running_loop().time()
+        await fleet.hosts["c"].leave()
+        await asyncio.gather(fleet.tasks["c"], return_exceptions=True)
+        del fleet.hosts["c"], fleet.tasks["c"]
+        await until(fleet.is_complete, 10)
+        assert asyncio.get_running_loop().time() - started_at < 3
 
 
 async def test_the_service_gone_for_a_while_moves_nothing_and_comes_back_without_a_storm(
     tmp_path: Path,
 ) -> None:
-    async with shared(tmp_path, "a", "b") as stand:
-        before = dict(stand.hosts["a"].snapshot.owners)
-        stand.service.faults.silent = True
-        await until(lambda: not stand.acting(), 10)  # by their own clocks
-        assert all(host.snapshot.owners == before for host in stand.hosts.values())  # what stands goes on
-        calls = stand.service.calls
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        before = dict(fleet.hosts["a"].snapshot.owners)
+        fleet.service.faults.silent = True
+        await until(lambda: not fleet.acting(), 10)  # each controller stops by its own clock
+        assert all(host.snapshot.owners == before for host in fleet.hosts.values())  # tables are kept
+        calls = fleet.service.calls
         await asyncio.sleep(1.0)
-        assert stand.service.calls - calls < 60
-        stand.service.faults.silent = False
-        await until(stand.whole, 15)
-        assert all(host.snapshot.owners == before for host in stand.hosts.values())
+        assert fleet.service.calls - calls < 60
+        fleet.service.faults.silent = False
+        await until(fleet.is_complete, 15)
+        assert all(host.snapshot.owners == before for host in fleet.hosts.values())
 
 
 async def test_answers_lost_and_compaction_cost_nothing_but_time(tmp_path: Path) -> None:
-    async with shared(tmp_path, "a", "b") as stand:
-        stand.service.faults.lose_answers = 5
-        stand.drain()
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        fleet.service.faults.lose_answers = 5
+        fleet.drain()
         await asyncio.sleep(0.3)
-        stand.service.state.compact(stand.service.state.revision)
-        stand.service.reset()
-        await until(lambda: stand.whole() and "n0" not in stand.hosts["a"].snapshot.owners.values(), 15)
-        assert stand.hosts["a"].snapshot.owners == stand.hosts["b"].snapshot.owners
+        fleet.service.state.compact(fleet.service.state.revision)
+        fleet.service.reset()
+        await until(lambda: fleet.is_complete() and "n0" not in fleet.hosts["a"].snapshot.owners.values(), 15)
+        assert fleet.hosts["a"].snapshot.owners == fleet.hosts["b"].snapshot.owners
 
 
 async def test_a_paused_controller_finds_out_before_its_next_byte(tmp_path: Path) -> None:
-    """A real process, stopped for longer than its session: nobody's writes go to two nodes meanwhile or
-    after."""
-    async with shared(tmp_path, "a") as stand:
+    """A real process is stopped for longer than its session. When it resumes no slice returns to an earlier
+    owner or epoch, which would send writes to two nodes."""
+    async with running_fleet(tmp_path, "a") as fleet:
         environment = {**os.environ, "PYTHONPATH": str(Path(__file__).parent.parent)}
-        command = [sys.executable, "-m", "lapispass", "run", "-o", str(stand.file("z"))]
+        command = [sys.executable, "-m", "lapispass", "run", "-o", str(fleet.write_operator_file("z"))]
         process = subprocess.Popen(command, env=environment, stderr=subprocess.DEVNULL)  # noqa: ASYNC220
         try:
-            host = stand.hosts["a"]
+            host = fleet.hosts["a"]
             await until(lambda: len(host.takeover.acting) < 12, 10)
             await until(lambda: all(r.holder for r in host.takeover.records.values()), 10)
             process.send_signal(signal.SIGSTOP)
             await until(lambda: len(host.takeover.acting) == 12, 10)
-            stand.drain()
+            fleet.drain()
             await until(
                 lambda: "n0" not in host.snapshot.owners.values() and len(host.snapshot.owners) == 12, 15
             )
@@ -398,37 +400,37 @@
 
 @pytest.mark.time_limit(180)
 async def test_no_block_has_two_writers_while_controllers_are_killed(tmp_path: Path) -> None:
-    """`lapispass lab peers` plays this for ten minutes, with pauses."""
+    """`lapispass lab peers` can run this for ten minutes, also with pauses."""
     chance = random.Random(3)
     published: list[Published] = []
     carried: list[Carried] = []
 
-    def watched(host: SharedHost) -> None:
+    def record_published(host: SharedHost) -> None:
         publish_changes = host.publish_changes
 
-        def shown(changes: Any, barrier: int | None) -> None:
+        def publish_and_record(changes: Any, barrier: int | None) -> None:
             if barrier is not None:
                 for change in changes:
                     if hasattr(change, "owner"):
                         published.append(Published(clock_us(), change.slice, change.owner))
             publish_changes(changes, barrier)
 
-        host.publish_changes = shown  # type: ignore[method-assign]
+        host.publish_changes = publish_and_record  # type: ignore[method-assign]
 
-    async with shared(tmp_path, "a", "b") as stand:
-        for number, owner in stand.hosts["a"].snapshot.owners.items():
+    async with running_fleet(tmp_path, "a", "b") as fleet:
+        for number, owner in fleet.hosts["a"].snapshot.owners.items():
             published.append(Published(0, number, owner))
-        for host in stand.hosts.values():
-            watched(host)
+        for host in fleet.hosts.values():
+            record_published(host)
         clients = [
-            XdsClient(host.xds_server.address, f"c{n}", n) for n, host in enumerate(stand.hosts.values())
+            XdsClient(host.xds_server.address, f"c{n}", n) for n, host in enumerate(fleet.hosts.values())
         ]
         running = [asyncio.create_task(client.run()) for client in clients]
         sent = 0
         for round_ in range(3):
-            stand.drain("DRAINING" if round_ % 2 == 0 else "READY")
+            fleet.drain("DRAINING" if round_ % 2 == 0 else "READY")
             attempts, enough = 0, sent + 20
-            # 150 attempts; on a slow machine, where leases run out meanwhile, until so many were written.
+            # 150 attempts; on a slow machine, where leases expire meanwhile, until 20 writes were made.
             while attempts < 150 or (sent < enough and attempts < 3000):
                 attempts += 1
                 await asyncio.sleep(0.01)
@@ -436,12 +438,12 @@
                 if node := client.writes_to(slice_of(key, 12)):
                     sent += 1
                     carried.append(Carried(clock_us(), node, key, str(sent)))
-            victim = chance.choice(sorted(stand.hosts))
-            await stand.kill(victim)
-            watched(await stand.start(victim))
-            for client, host in zip(clients, stand.hosts.values(), strict=True):
+            victim = chance.choice(sorted(fleet.hosts))
+            await fleet.kill(victim)
+            record_published(await fleet.start(victim))
+            for client, host in zip(clients, fleet.hosts.values(), strict=True):
                 client.address = host.xds_server.address
                 client.drop()
-        await until(stand.whole, 15)
+        await until(fleet.is_complete, 15)
         await ended(*running)
         assert sent > 50 and writes(carried, published, lambda key: slice_of(key, 12)) == []
