--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -199,7 +199,7 @@
                 self.start(name)
         up = [name for name in self.names if name not in self.paused and self.processes[name].poll() is None]
         fault = chance.choices(["kill", "pause", "drop", "deploy", "silent", "lost", "compact", "rest"],
-                              [1, 1 if self.pauses else 0, 4, 4, 0.4, 1, 0.5, 3])[0]  # fmt: skip
+                               [1, 1 if self.pauses else 0, 4, 4, 0.4, 1, 0.5, 3])[0]  # fmt: skip
         if fault in ("kill", "pause") and len(up) < 2:
             return
         counts[fault] += fault != "rest"
--- a/lapispass/peers/host.py
+++ b/lapispass/peers/host.py
@@ -98,6 +98,7 @@
         self.stop_all_slices()
 
     def stop_all_slices(self) -> None:
+        """Takes all slices from the controller."""
         for number in sorted(self.takeover.acting):
             self.tell(interface.SliceGrant(number, False))
         self.takeover.acting.clear()
@@ -185,6 +186,7 @@
         self.acknowledge_barriers()
 
     def members_in(self, changes: Sequence[KeyChange]) -> dict[str, tuple[float, str]]:
+        """The weight and boot of each controller whose member key is among these changes."""
         found = {}
         for change in changes:
             kind, name = records.parse_key(change.key)
@@ -237,7 +239,7 @@
         ]
 
     def set_withdrawn(self, withdrawal: str, out: bool) -> list[tables.TableChange]:
-        """Applies that a controller has withdrawn or readmitted a node, given as `controller/node`.
+        """Notes that a controller has withdrawn or readmitted a node, given as `controller/node`.
 
         A node is withdrawn while any controller withdraws it. Withdrawals end with the controller's session.
         """
--- a/lapispass/peers/own_lease.py
+++ b/lapispass/peers/own_lease.py
@@ -70,8 +70,8 @@
     async def start_session(self, sent_us: int) -> None:
         """Requests a lease and creates the member key, unless an earlier incarnation's key still exists."""
         lease = await self.service.grant_lease(self.ttl_s)
-        key = Put(records.member_key(self.name), records.encode_member(self.boot, self.weight), lease)
-        result = await self.service.compare_and_swap([Condition(key.key, 0)], [key])
+        put = Put(records.member_key(self.name), records.encode_member(self.boot, self.weight), lease)
+        result = await self.service.compare_and_swap([Condition(put.key, 0)], [put])
         if not result.succeeded:
             await self.service.revoke_lease(lease)
             return
--- a/lapispass/peers/record_writer.py
+++ b/lapispass/peers/record_writer.py
@@ -58,7 +58,7 @@
         return self.takeover.records.get(number, NEVER_WRITTEN)
 
     async def find_applied_revision(self, slices: dict[int, Record]) -> int | None:
-        """The revision of a transaction without an answer, or None if it was not carried out.
+        """The revision of a transaction without an answer; None if it was not carried out or not found.
 
         It was carried out if the record of its first slice is newer than the last known one and equals the
         record that was to be written.
