--- a/lapispass/core/table.py
+++ b/lapispass/core/table.py
@@ -1,6 +1,6 @@
-"""What a controller tells the part that decides on tables.
+"""The interface between a controller and the component that decides on tables.
 
-Where there are no slices most of it means nothing.
+Most of its methods do nothing in a deployment without slices.
 """
 
 from __future__ import annotations
@@ -14,51 +14,54 @@
 
 
 class Table:
-    """News are noted here and acted on in `evaluate`."""
+    """Takes in events; `evaluate` acts on them."""
 
     def __init__(self) -> None:
         self.changed, self.due_at = False, NEVER
 
-    def given(self, number: int, ours: bool) -> None:
-        """The store puts a slice in this controller's charge, or takes it out."""
+    def slice_granted(self, number: int, granted: bool) -> None:
+        """The store has granted a slice to this controller, or has taken it away."""
 
-    def held(self, number: int, backend: interface.BackendId) -> None:
-        """The owner that the store has for a slice just given."""
+    def owner_stored(self, number: int, backend: interface.BackendId) -> None:
+        """The store has reported the owner of a slice that was just granted."""
 
-    def came(self, report: interface.RequestReport) -> None:
-        """Visits that came for a slice."""
+    def requests_reported(self, report: interface.RequestReport) -> None:
+        """Requests for a slice were reported."""
 
-    def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
-        """A proxy's stream stands."""
+    def proxy_joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
+        """A proxy's stream is established."""
         self.changed = True
 
-    def left(self, proxy: int) -> None:
+    def proxy_left(self, proxy: int) -> None:
         """A proxy's stream has ended."""
 
-    def evaluated(self, server: ServerState) -> None:
-        """A server was looked at: its health or its place in the list may have changed."""
+    def server_evaluated(self, server: ServerState) -> None:
+        """A server was evaluated: its health or its registry entry may have changed."""
         self.changed = True
 
-    def forget(self, number: interface.BackendId) -> bool:
-        """A server is gone for good; False while something has still to be said of it."""
+    def forget_server(self, number: interface.BackendId) -> bool:
+        """Forgets a server that is gone for good; False while orders about it are still due."""
         raise NotImplementedError
 
     def read_rates(self) -> None:
-        """Before servers are looked at: tells them what their slices bring."""
+        """Updates the request rates of servers, before these are evaluated."""
 
     def next_evaluation(self, now: int, joined: int) -> int:
-        """When it has to be looked at without news; nothing can be said while no proxy has joined."""
+        """When the next evaluation is due without an event. Changes have to wait until a proxy has joined."""
         return now if self.changed and joined else self.due_at
 
-    def evaluate(self, now: int, every_us: int, ask: Callable[[], SendBudget | None]) -> None:
-        """Where something has changed or is due, acts as soon as the channel offers a turn."""
+    def evaluate(self, now: int, interval_us: int, get_budget: Callable[[], SendBudget | None]) -> None:
+        """Acts on changes and on what is due, as soon as the channel has room.
+
+        `get_budget` returns None while the channel has none.
+        """
         if not (self.changed or now >= self.due_at):
             return
-        offer = ask()
-        self.changed, self.due_at = offer is None, now + every_us
-        if offer is not None:
-            self.due_at = max(now + every_us, self.act(offer))
+        budget = get_budget()
+        self.changed, self.due_at = budget is None, now + interval_us
+        if budget is not None:
+            self.due_at = max(now + interval_us, self.act(budget))
 
-    def act(self, offer: SendBudget) -> int:
-        """Orders what follows from the news; returns when something is due next."""
+    def act(self, budget: SendBudget) -> int:
+        """Issues the orders that are due; returns when the next ones are."""
         raise NotImplementedError
