--- a/lapispass/cli/main.py
+++ b/lapispass/cli/main.py
@@ -90,7 +90,7 @@
     controllers: Annotated[int, typer.Option(help="How many controllers share the nodes.")] = 3,
     seed: Annotated[int, typer.Option(help="Seed of all random numbers.")] = 1,
 ) -> None:
-    """Kill and pause controllers that share a coordination service at random; 1 if a rule is broken."""
+    """Randomly kill and pause controllers that share a coordination service; 1 if a rule is broken."""
     from lapispass.lab.shared import main
 
     raise typer.Exit(main(seed, seconds, controllers))
