--- a/lapispass/controller.py
+++ b/lapispass/controller.py
@@ -144,7 +144,7 @@
                 self.channel.leave(proxy)
                 self.table.left(proxy)
             case interface.BarrierAck():
-                self.channel.answer(event)
+                self.channel.acknowledge(event)
 
     def apply_registry_update(self, update: interface.RegistryUpdate) -> None:
         """Applies an update of the registry; a lost connection is requested again."""
--- a/lapispass/core/agenda.py
+++ b/lapispass/core/agenda.py
@@ -14,7 +14,7 @@
 from lapispass.core.units import NEVER
 
 Key = TypeVar("Key", bound=Hashable)
-SPARE = 64  # outdated entries that are always tolerated
+MAX_STALE_ENTRIES = 64  # outdated entries that are always tolerated
 
 
 class Agenda(Generic[Key]):
@@ -37,7 +37,7 @@
             return
         self._times[key] = at
         heappush(self._heap, (at, next(self._serial), key))
-        if len(self._heap) > 2 * len(self._times) + SPARE:
+        if len(self._heap) > 2 * len(self._times) + MAX_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if self._times.get(entry[2]) == entry[0]]
             heapify(self._heap)
 
--- a/lapispass/core/handover_state.py
+++ b/lapispass/core/handover_state.py
@@ -33,7 +33,7 @@
 
 def handover_state(slice_: Slice, proxies: Proxies, now: int) -> HandoverState:
     """How far the handover of a slice is."""
-    waiting = [] if slice_.step == "steady" else proxies.unclear(slice_.mark, now)
+    waiting = [] if slice_.step == "steady" else proxies.not_passed_by(slice_.mark, now)
     for_us = now - slice_.stepped_at
     return HandoverState(slice_.step, for_us, len(waiting), tuple(waiting[:PROXIES_NAMED]))
 
@@ -43,13 +43,13 @@
     moving = holdings.moving()
     closing = [now - slice_.stepped_at for slice_ in moving if slice_.step == "closing"]
     emptied = sum(slice_.step == "emptied" for slice_ in moving)
-    proxy, since = proxies.longest_behind()
+    proxy, since = proxies.longest_unacknowledged()
     behind_us = 0 if proxy is None else now - since
     return Progress(
         emptied,
         len(closing),
         max(closing, default=0),
-        proxies.behind,
+        proxies.unacknowledged,
         behind_us,
         proxy,
         turns_without_room,
--- a/lapispass/core/interval_figures.py
+++ b/lapispass/core/interval_figures.py
@@ -10,8 +10,8 @@
 
 from lapispass import interface
 from lapispass.core.handover_state import Progress
-from lapispass.core.slice_lines import SliceLines
 from lapispass.core.units import NEVER
+from lapispass.core.unserved_slices import UnservedSlices
 from lapispass.interface import BackendId
 
 
@@ -58,15 +58,15 @@
 class IntervalFigures:
     """Gathers the figures of an interval from what is told and ordered."""
 
-    def __init__(self, answer_late_us: int, line_overdue_us: int = NEVER) -> None:
-        """An answer is late after `answer_late_us`; a slice's gap is overdue after `line_overdue_us`."""
+    def __init__(self, answer_late_us: int, unserved_overdue_us: int = NEVER) -> None:
+        """An answer is late after `answer_late_us`; a slice's gap is overdue after `unserved_overdue_us`."""
         self.answer_late_us = answer_late_us
         self.current = Figures()
-        self.lines = SliceLines(line_overdue_us)
+        self.unserved = UnservedSlices(unserved_overdue_us)
         self.turns_without_room = 0  # until the last report
         self.unowned: dict[int, int] = {}  # slice: since when it has had no owner
 
-    def answered(self, took_us: int) -> bool:
+    def count_answer(self, took_us: int) -> bool:
         """A request was answered so long after it had come; whether that is late."""
         late = took_us > self.answer_late_us
         self.current.answers += 1
@@ -85,10 +85,10 @@
     def event(self, now: int, event: interface.Event) -> None:
         """Something was received."""
         current = self.current
-        self.lines.event(now, event)
+        self.unserved.event(now, event)
         match event:
             case interface.ServerReport():
-                self._met(event)
+                self._count_tries(event)
             case interface.BarrierAck():
                 current.slowest_mark_us = max(current.slowest_mark_us, event.latency_us)
             case interface.ProxyJoined():
@@ -105,7 +105,7 @@
             case interface.StoredOwner(slice_):
                 self.unowned.pop(slice_, None)
 
-    def _met(self, report: interface.ServerReport) -> None:
+    def _count_tries(self, report: interface.ServerReport) -> None:
         current = self.current
         current.tries += report.tries
         current.lost_tries += report.failed
@@ -114,7 +114,7 @@
 
     def order(self, now: int, order: interface.Order) -> None:
         """Something was ordered."""
-        self.lines.order(now, order)
+        self.unserved.order(now, order)
         match order:
             case interface.ClearTable(table):
                 self.unowned.setdefault(table, now)
@@ -131,8 +131,8 @@
         """The figures of the interval that ends now; the next one begins."""
         taken, self.current = self.current, Figures()
         taken.without_owner = len(self.unowned)
-        taken.without_line = len(self.lines.since)
-        taken.longest_without_line_us = self.lines.take_longest(now)
+        taken.without_line = len(self.unserved.since)
+        taken.longest_without_line_us = self.unserved.take_longest(now)
         taken.emptied, taken.closing = progress.emptied, progress.closing
         taken.longest_closing_us = progress.longest_closing_us
         taken.unanswered = progress.unanswered
--- a/lapispass/core/part.py
+++ b/lapispass/core/part.py
@@ -5,9 +5,9 @@
 from typing import Generic, TypeVar
 
 from lapispass.core.fleet_index import AnyServer, FleetIndex
-from lapispass.core.shut_out import ShutOut
 from lapispass.core.slices import Holdings
 from lapispass.core.turn import Turn
+from lapispass.core.withdrawn import WithdrawnServers
 
 Figures = TypeVar("Figures")
 
@@ -21,7 +21,7 @@
         rules: Figures,
         fleet: FleetIndex[AnyServer],
         holdings: Holdings,
-        shut_out: ShutOut,
+        shut_out: WithdrawnServers,
     ) -> None:
         self.turn, self.rules, self.fleet, self.holdings = turn, rules, fleet, holdings
         self.shut_out = shut_out
--- a/lapispass/core/repeats.py
+++ b/lapispass/core/resend_set.py
@@ -9,40 +9,40 @@
 from lapispass.interface import BackendId
 
 
-class Repeats:
+class ResendSet:
     """Servers of which must be said again whether they are shut out, in memory that follows what was said."""
 
     def __init__(self) -> None:
-        self._some: set[BackendId] = set()
-        self._above = NEVER  # all servers whose place is higher, also those not known yet, but for ...
-        self._said: set[BackendId] = set()  # ... these, said since
+        self._servers: set[BackendId] = set()
+        self._above_index = NEVER  # all servers whose place is higher, also those not known yet, but for ...
+        self._sent: set[BackendId] = set()  # ... these, said since
 
     def add(self, numbers: Iterable[BackendId]) -> None:
         """Servers by their ids."""
-        self._some.update(numbers)
+        self._servers.update(numbers)
 
     def add_all(self) -> None:
         """All servers, those that become known later too: a proxy may have heard of any of them."""
-        self._above = 0
-        self._said.clear()
+        self._above_index = 0
+        self._sent.clear()
 
-    def add_newcomers(self, last_place: int) -> None:
+    def add_newer(self, last_index: int) -> None:
         """All servers that become known after the one of this place."""
-        self._above = min(self._above, last_place)
+        self._above_index = min(self._above_index, last_index)
 
     def discard(self, server: Server) -> None:
         """Its state was said, or need not be."""
-        self._some.discard(server.number)
-        if server.place > self._above:
-            self._said.add(server.number)
+        self._servers.discard(server.number)
+        if server.place > self._above_index:
+            self._sent.add(server.number)
 
     def forget(self, number: BackendId) -> None:
-        self._some.discard(number)
-        self._said.discard(number)
+        self._servers.discard(number)
+        self._sent.discard(number)
 
     def has(self, server: Server) -> bool:
         number = server.number
-        return number in self._some or (server.place > self._above and number not in self._said)
+        return number in self._servers or (server.place > self._above_index and number not in self._sent)
 
     def __len__(self) -> int:
-        return len(self._some) + len(self._said)
+        return len(self._servers) + len(self._sent)
--- a/lapispass/core/slice_table.py
+++ b/lapispass/core/slice_table.py
@@ -8,10 +8,10 @@
 from lapispass.core.fleet_index import AnyServer, FleetIndex
 from lapispass.core.messages import MissedOrders
 from lapispass.core.server_state import ServerState
-from lapispass.core.shut_out import ShutOut
 from lapispass.core.slices import Holdings
 from lapispass.core.table import Table
 from lapispass.core.turn import Turn
+from lapispass.core.withdrawn import WithdrawnServers
 
 
 class Times(NamedTuple):
@@ -29,7 +29,7 @@
     def __init__(self, turn: Turn, fleet: FleetIndex[AnyServer], times: Times, negligible: float) -> None:
         super().__init__()
         self.turn, self.fleet, self.negligible, self.times = turn, fleet, negligible, times
-        self.holdings, self.shut_out = Holdings(), ShutOut()
+        self.holdings, self.shut_out = Holdings(), WithdrawnServers()
 
     def given(self, number: int, ours: bool) -> None:
         """The store's table is kept, and nothing starts here for one lease."""
@@ -51,7 +51,7 @@
     def joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """A proxy's stream stands."""
         super().joined(event, missed)
-        self.shut_out.missed(missed)
+        self.shut_out.proxy_joined(missed)
 
     def evaluated(self, server: ServerState) -> None:
         """A server was looked at: its shares may have to change."""
@@ -61,7 +61,7 @@
 
     def forget(self, number: interface.BackendId) -> bool:
         """A server is gone for good; False while proxies have still to let it in again."""
-        if number in self.shut_out.out:
+        if number in self.shut_out.withdrawn:
             return False
         self.shut_out.forget(number, self.fleet.last_place)
         self.holdings.forget_server(number)
--- a/lapispass/core/slice_lines.py
+++ b/lapispass/core/unserved_slices.py
@@ -13,15 +13,15 @@
 from lapispass.interface import BackendId
 
 
-class Gap(NamedTuple):
+class UnservedSpan(NamedTuple):
     """A slice without a line to pick, or one that has a line again."""
 
     slice: int
     owner: BackendId | None  # the owner that is shut out; None for an empty table
-    for_us: int
+    duration_us: int
 
 
-class SliceLines:
+class UnservedSlices:
     """Follows the slices of one controller. The work follows what changes, not how many slices there are."""
 
     def __init__(self, overdue_us: int) -> None:
@@ -31,9 +31,9 @@
         self.since: dict[int, int] = {}  # slices without a line, those without one for longest first
         self.longest_us = 0  # of the gaps that ended since `take_longest`
         self._owned: dict[BackendId, set[int]] = {}
-        self._out: set[BackendId] = set()
+        self._withdrawn: set[BackendId] = set()
         self._reported: set[int] = set()
-        self._ended: list[Gap] = []
+        self._ended: list[UnservedSpan] = []
 
     def event(self, now: int, event: interface.Event) -> None:
         """Something was received."""
@@ -53,11 +53,11 @@
             case interface.SetTableEntry(slice_, owner) if slice_ in self.owners:
                 self._assign(now, slice_, owner)
             case interface.SetWithdrawn(backend, out):
-                (self._out.add if out else self._out.discard)(backend)
+                (self._withdrawn.add if out else self._withdrawn.discard)(backend)
                 for slice_ in sorted(self._owned.get(backend, ())):
-                    self._judge(now, slice_)
+                    self._update(now, slice_)
 
-    def overdue(self, now: int) -> list[Gap]:
+    def overdue(self, now: int) -> list[UnservedSpan]:
         """Gaps that have lasted too long by now; each is told once."""
         found = []
         for slice_, since in self.since.items():
@@ -65,10 +65,10 @@
                 break  # the others are younger
             if slice_ not in self._reported:
                 self._reported.add(slice_)
-                found.append(Gap(slice_, self.owners[slice_], now - since))
+                found.append(UnservedSpan(slice_, self.owners[slice_], now - since))
         return found
 
-    def take_ended(self) -> list[Gap]:
+    def take_ended(self) -> list[UnservedSpan]:
         """Gaps that were told as overdue and have ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
@@ -80,16 +80,16 @@
         return max(longest, now - oldest)
 
     def _assign(self, now: int, slice_: int, owner: BackendId | None) -> None:
-        self._disown(slice_)
+        self._unlink(slice_)
         self.owners[slice_] = owner
         if owner is not None:
             self._owned.setdefault(owner, set()).add(slice_)
-        self._judge(now, slice_)
+        self._update(now, slice_)
 
-    def _judge(self, now: int, slice_: int) -> None:
+    def _update(self, now: int, slice_: int) -> None:
         """Begins or ends the slice's gap."""
         owner = self.owners[slice_]
-        if owner is None or owner in self._out:
+        if owner is None or owner in self._withdrawn:
             self.since.setdefault(slice_, now)
             return
         since = self.since.pop(slice_, None)
@@ -98,9 +98,9 @@
         self.longest_us = max(self.longest_us, now - since)
         if slice_ in self._reported:
             self._reported.discard(slice_)
-            self._ended.append(Gap(slice_, owner, now - since))
+            self._ended.append(UnservedSpan(slice_, owner, now - since))
 
-    def _disown(self, slice_: int) -> None:
+    def _unlink(self, slice_: int) -> None:
         owner = self.owners.get(slice_)
         if owner is None:
             return
@@ -111,7 +111,7 @@
 
     def _forget(self, slice_: int) -> None:
         """The slice is no longer in this controller's charge."""
-        self._disown(slice_)
+        self._unlink(slice_)
         self.owners.pop(slice_, None)
         self.since.pop(slice_, None)
         self._reported.discard(slice_)
--- a/lapispass/drill/__main__.py
+++ b/lapispass/drill/__main__.py
@@ -7,7 +7,7 @@
 from typing import TextIO
 
 from lapispass.controller import Controller
-from lapispass.drill.codec import Batch, Detach, Spawn, WireError, read_batches, written
+from lapispass.drill.codec import Batch, Detach, Spawn, WireError, format_order, read_batches
 
 
 def answer(batch: Batch, hosted: dict[int, Controller]) -> list[str]:
@@ -20,7 +20,7 @@
         if events is None:
             return
         try:
-            lines.extend(written(who, order) for order in hosted[who].turn(batch.now, events))
+            lines.extend(format_order(who, order) for order in hosted[who].turn(batch.now, events))
         except Exception as error:  # the wire wants every failure of the decisions told as PANIC
             place = error.__traceback__
             while place is not None and place.tb_next is not None:
@@ -29,7 +29,7 @@
             reason = f"{type(error).__name__}{where}: {error}".replace("\n", " ")
             lines.append(f"PANIC\t{who}\t{reason}\n")
 
-    for who, news in batch.news:
+    for who, news in batch.events:
         match news:
             case Spawn():
                 hand_over(who)
--- a/lapispass/drill/codec.py
+++ b/lapispass/drill/codec.py
@@ -18,14 +18,14 @@
 ALL_TABLES = 65535
 
 
-def whole(text: str) -> int:
+def non_negative(text: str) -> int:
     value = int(text)
     if value < 0:
         raise ValueError(f"negative number {text!r}")
     return value
 
 
-def maybe(read: Callable[[str], Any]) -> Callable[[str], Any]:
+def optional(read: Callable[[str], Any]) -> Callable[[str], Any]:
     return lambda text: None if text == "-" else read(text)
 
 
@@ -35,13 +35,13 @@
     return text == "1"
 
 
-def gauge(text: str) -> tuple[float | None, ...] | None:
+def load_values(text: str) -> tuple[float | None, ...] | None:
     if text == "-":
         return None
     return tuple(None if part in ("-", "") else float(part) for part in text.split(","))
 
 
-def named(names: dict[str, str]) -> Callable[[str], str]:
+def one_of(names: dict[str, str]) -> Callable[[str], str]:
     def read(text: str) -> str:
         if text not in names:
             raise ValueError(f"unknown word {text!r}")
@@ -50,43 +50,52 @@
     return read
 
 
-number = maybe(float)
-count = maybe(whole)
+optional_float = optional(float)
+optional_int = optional(non_negative)
 
 # verb: (readers of the parts after the instance, maker of the event)
 EVENTS: dict[str, tuple[tuple[Callable[[str], Any], ...], Callable[..., interface.Event]]] = {
-    "FIRED": ((whole,), interface.TimerFired),
-    "CHECK_RESULT": ((whole, whole, whole, gauge), interface.ProbeResult),
-    "MESSAGE": ((whole, lambda text: b"" if text == "-" else bytes.fromhex(text)), interface.PeerMessage),
+    "FIRED": ((non_negative,), interface.TimerFired),
+    "CHECK_RESULT": ((non_negative, non_negative, non_negative, load_values), interface.ProbeResult),
+    "MESSAGE": (
+        (non_negative, lambda text: b"" if text == "-" else bytes.fromhex(text)),
+        interface.PeerMessage,
+    ),
     "ENROLLED": (
-        (flag, whole, str, number),
+        (flag, non_negative, str, optional_float),
         lambda first, proxy, zone, visits_per_s: interface.ProxyJoined(
             proxy, first, zone, visits_per_s, True
         ),
     ),
-    "DROPPED_OFF": ((whole,), interface.ProxyLeft),
+    "DROPPED_OFF": ((non_negative,), interface.ProxyLeft),
     "STATS": (
-        (whole, whole, whole, whole, whole, str, gauge),
+        (non_negative, non_negative, non_negative, non_negative, non_negative, str, load_values),
         lambda lost, tries, took, over, backend, zone, load: interface.ServerReport(
             backend, zone, lost, tries, took, over, load
         ),
     ),
     "INGRESS": (
-        (str, whole, whole, whole, whole),
+        (str, non_negative, non_negative, non_negative, non_negative),
         lambda name, lost, visits, over, proxy: interface.RequestReport(proxy, name, visits, lost, over),
     ),
     "PRESSURE": (
-        (whole, whole, whole, whole, str),
+        (non_negative, non_negative, non_negative, non_negative, str),
         lambda lost, table, over, visits, name: interface.RequestReport(table, name, visits, lost, over),
     ),
-    "GIVEN": ((whole, flag), interface.SliceGrant),
-    "RECORDED": ((whole, whole, number), lambda table, backend, _w: interface.StoredOwner(table, backend)),
-    "TOOK_EFFECT": ((whole, whole, whole), lambda mark, proxy, took: interface.BarrierAck(proxy, mark, took)),
+    "GIVEN": ((non_negative, flag), interface.SliceGrant),
+    "RECORDED": (
+        (non_negative, non_negative, optional_float),
+        lambda table, backend, _w: interface.StoredOwner(table, backend),
+    ),
+    "TOOK_EFFECT": (
+        (non_negative, non_negative, non_negative),
+        lambda mark, proxy, took: interface.BarrierAck(proxy, mark, took),
+    ),
 }
-ENTRY = (whole, str, str, whole, named(STATES), number, count)
+ENTRY = (non_negative, str, str, non_negative, one_of(STATES), optional_float, optional_int)
 
 
-def parts_of(line: str, readers: tuple[Callable[[str], Any], ...], skip: int) -> list[Any]:
+def read_values(line: str, readers: tuple[Callable[[str], Any], ...], skip: int) -> list[Any]:
     parts = line.split("\t")
     if len(parts) != len(readers) + skip:
         raise WireError(f"{parts[0]}: {len(parts) - 1} values where {len(readers) + skip - 1} belong")
@@ -104,7 +113,7 @@
         if len(parts) != 4:
             raise WireError("SPAWN: too few values")
         try:
-            self.seed = whole(parts[2])
+            self.seed = non_negative(parts[2])
         except ValueError as error:
             raise WireError(f"SPAWN: {error}") from None
         try:
@@ -123,7 +132,7 @@
     def __init__(self, now: int, round_number: int) -> None:
         self.now = now
         self.round_number = round_number
-        self.news: list[tuple[int, interface.Event | Spawn | Detach]] = []
+        self.events: list[tuple[int, interface.Event | Spawn | Detach]] = []
 
 
 def read_batches(stream: TextIO) -> Iterator[Batch]:
@@ -142,11 +151,11 @@
                 continue
             if line.split("\t")[0] != "SYNC":
                 raise WireError(f"SYNC expected, not {line[:40]!r}")
-            batch = Batch(*parts_of(line, (whole, whole), 1))
+            batch = Batch(*read_values(line, (non_negative, non_negative), 1))
             while (line := following()) != "EOF_BATCH":
                 if line == "\0":
                     raise WireError("input ends inside a batch")
-                batch.news.append(_event(line, following))
+                batch.events.append(_event(line, following))
         except WireError as error:
             raise WireError(f"line {at}: {error}") from None
         yield batch
@@ -155,46 +164,48 @@
 def _event(line: str, following: Callable[[], str]) -> tuple[int, interface.Event | Spawn | Detach]:
     verb, _, rest = line.partition("\t")
     try:
-        who = whole(rest.split("\t", 1)[0])
+        who = non_negative(rest.split("\t", 1)[0])
     except ValueError as error:
         raise WireError(f"{verb[:40]}: instance: {error}") from None
     if verb == "SPAWN":
         return who, Spawn(line)
     if verb == "DETACH":
-        parts_of(line, (whole,), 1)
+        read_values(line, (non_negative,), 1)
         return who, Detach()
     if verb == "TOPOLOGY":
-        kind, _, rows = parts_of(line, (named(LIST_KINDS), maybe(whole), maybe(whole)), 2)
+        kind, _, rows = read_values(
+            line, (one_of(LIST_KINDS), optional(non_negative), optional(non_negative)), 2
+        )
         entries = []
         for _ in range(rows or 0):
             row = following()
             if row.split("\t")[0] != "ENTRY":
                 raise WireError(f"ENTRY expected, not {row[:40]!r}")
-            backend, zone, _, _, state, weight, born = parts_of(row, ENTRY, 1)
+            backend, zone, _, _, state, weight, born = read_values(row, ENTRY, 1)
             entries.append(interface.RegistryEntry(backend, zone, state, weight, born or None))
         return who, interface.RegistryUpdate(kind, tuple(entries))
     if verb not in EVENTS:
         raise WireError(f"unknown verb {verb[:40]!r}")
     readers, make = EVENTS[verb]
-    return who, make(*parts_of(line, readers, 2))
+    return who, make(*read_values(line, readers, 2))
 
 
-def figure(value: float) -> str:
+def format_number(value: float) -> str:
     return str(int(value)) if value == int(value) else format(value, ".6g")
 
 
-def written(who: int, order: interface.Order) -> str:
+def format_order(who: int, order: interface.Order) -> str:
     """One order as a line of the wire."""
     match order:
         case interface.SetTableEntry(table, backend, weight):
-            return f"UPSERT\t{who}\t{table}\t{figure(weight)}\t{backend}\n"
+            return f"UPSERT\t{who}\t{table}\t{format_number(weight)}\t{backend}\n"
         case interface.ClearTable(table):
             return f"DROP_LINES\t{who}\t{table}\n"
         case interface.SetWithdrawn(backend, out):
             return f"BENCH\t{who}\t{int(out)}\t{backend}\n"
         case interface.SetAdmission(table, classes, retry, share):
             wide = ALL_TABLES if table is None else table
-            return f"VALVE\t{who}\t{wide}\t{classes}\t{retry}\t{figure(share)}\n"
+            return f"VALVE\t{who}\t{wide}\t{classes}\t{retry}\t{format_number(share)}\n"
         case interface.Barrier(mark, every_proxy):
             return f"CHECKPOINT\t{who}\t{int(every_proxy)}\t{mark}\n"
         case interface.BindProxy(proxy, table, classes):
--- a/lapispass/gate/lone.py
+++ b/lapispass/gate/lone.py
@@ -68,7 +68,7 @@
         reported_us = node.started_unix_ms * 1000
         known = self.starts.get(node.id)
         if known is None or known[0] != reported_us:
-            known = reported_us, local_start(reported_us, self.gate.clock.now(), live=False, notice_us=0)
+            known = reported_us, local_start(reported_us, self.gate.clock.now(), live=False, max_delay_us=0)
             self.starts[node.id] = known
         return known[1]
 
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -20,8 +20,8 @@
 from lapispass import interface
 from lapispass.core.tables import slice_of
 from lapispass.operator import read as operator
-from lapispass.rules.five import Bounds, Checker
-from lapispass.rules.held import Breach
+from lapispass.rules.checker import Bounds, Checker
+from lapispass.rules.checks import Breach
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
 from lapispass.store.assignments import Assignments
@@ -120,7 +120,8 @@
         self.chance, self.folder, self.duration = random.Random(seed), folder, duration
         self.verdict = Verdict(seed, [])
         self.checker = Checker(
-            Bounds(bare_us=BARE_MS * 1000, grace_us=GRACE_MS * 1000), lambda key: slice_of(key, SLICES)
+            Bounds(unserved_us=BARE_MS * 1000, drain_grace_us=GRACE_MS * 1000),
+            lambda key: slice_of(key, SLICES),
         )
         self.checked = 0
         self.states = {f"n{place}": "READY" for place in range(NODES)}
@@ -147,7 +148,7 @@
             for order in orders:
                 if isinstance(order, interface.SetTableEntry | interface.ClearTable):
                     owner = str(order.backend) if isinstance(order, interface.SetTableEntry) else None
-                    self.checker.publish(clock_us(), order.table, owner)
+                    self.checker.step_published(clock_us(), order.table, owner)
                     self.verdict.handovers += owner is not None
             turned(events, orders)
 
@@ -175,7 +176,7 @@
         store.commit([interface.SetTableEntry(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
         store.close()
         for number in range(SLICES):
-            self.checker.publish(0, number, f"n{number % NODES}")
+            self.checker.step_published(0, number, f"n{number % NODES}")
         await self.start()
         for place in range(6):
             faults = Faults(slow_s=0.06 if place == 1 else 0.0)
@@ -193,7 +194,7 @@
         clock = asyncio.get_running_loop().time
         begun = clock()
         try:
-            while not self.duration.is_over(clock() - begun, verdict, len(self.checker.carried)):
+            while not self.duration.is_over(clock() - begun, verdict, len(self.checker.executed)):
                 await asyncio.sleep(chance.uniform(0.02, 0.15))
                 await self.trouble()
             self.thaw()
@@ -208,9 +209,9 @@
             self.host.stop()
             await asyncio.gather(self.running, return_exceptions=True)
         self.check()
-        verdict.writes = len(self.checker.carried)
+        verdict.writes = len(self.checker.executed)
         verdict.worst_bare_us, verdict.worst_drain_us = (
-            self.checker.worst_bare_us,
+            self.checker.worst_unserved_us,
             self.checker.worst_drain_us,
         )
         verdict.versions = sum(client.updates for client in self.clients)
@@ -234,7 +235,7 @@
                 elif self.states[name] != "READY":
                     self.states[name] = "READY"
                     self.started[name] = self.host.clock.now() // 1000
-                self.checker.drains(clock_us(), name, self.states[name] != "READY")
+                self.checker.set_draining(clock_us(), name, self.states[name] != "READY")
                 self.file.write_text(file_of(self.states, "store", self.started))
                 self.host.read_again()
             case "freeze":
@@ -282,7 +283,7 @@
         await asyncio.sleep(self.chance.uniform(0, LIFE_MS * 0.8) / 1000)
         if clock_us() - sent > LIFE_MS * 1000:
             return
-        self.checker.carry(clock_us(), node, key, number)
+        self.checker.write_executed(clock_us(), node, key, number)
 
     async def sample(self) -> None:
         """What each client without faults would pick now: rules 1 and 3, and what waits for it: rule 5."""
@@ -292,20 +293,20 @@
             for client in self.clients:
                 standing = self.host.desk.clients.get(client.name)
                 if client.faults != Faults() or client.frozen or standing is None or not standing[0].watches:
-                    self.checker.parted(client.name)
+                    self.checker.party_left(client.name)
                     continue
                 joined = now - (self.host.clock.now() - standing[0].begun)
                 joined = max(joined, self.thawed.get(client.name, 0))
                 for number in range(SLICES):
                     self.checker.pick(now, client.name, number, client.reads_from(number), joined)
                 waiting = sum(len(watch.out.items) for watch in standing[0].watches.values() if watch.out)
-                self.checker.waiting(now, client.name, waiting)
+                self.checker.queued(now, client.name, waiting)
 
     def check(self, client: XdsClient | None = None) -> None:
         """All rules, on all that was seen so far; a breach is kept once, with what led to it."""
-        if self.verdict.breaches or (client is not None and len(self.checker.carried) == self.checked):
+        if self.verdict.breaches or (client is not None and len(self.checker.executed) == self.checked):
             return
-        self.checked = len(self.checker.carried)
+        self.checked = len(self.checker.executed)
         self.verdict.breaches = self.checker.verdict()
         if self.verdict.breaches:
             self.verdict.log.extend(self.checker.events)
--- a/lapispass/lab/fleet.py
+++ b/lapispass/lab/fleet.py
@@ -240,9 +240,9 @@
         world.proxies.requests,
         world.proxies.served,
         world.handovers,
-        judge.worst_bare_us,
+        judge.worst_unserved_us,
         judge.worst_drain_us,
-        max(judge.peaks.values(), default=0.0),
+        max(judge.peak_cold_loads.values(), default=0.0),
         world.seen(),
     )
 
--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -24,8 +24,8 @@
 from pathlib import Path
 
 from lapispass.core.tables import slice_of
-from lapispass.rules.five import Bounds, Checker
-from lapispass.rules.held import Breach
+from lapispass.rules.checker import Bounds, Checker
+from lapispass.rules.checks import Breach
 from lapispass.standins.coordination import Coordination
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
@@ -115,7 +115,7 @@
                 self.epochs[number] = told["epoch"]
                 if self.owners.get(number, "") != told["owner"]:
                     self.owners[number] = told["owner"]
-                    self.checker.publish(now, number, told["owner"])
+                    self.checker.step_published(now, number, told["owner"])
                     self.verdict.counts["handovers"] += told["owner"] is not None
 
         return watched
@@ -152,8 +152,8 @@
                 process.wait()
             self.service.stop()
         self.verdict.breaches = self.checker.verdict()
-        self.verdict.counts["writes"] = len(self.checker.carried)
-        self.verdict.worst_bare_us = self.checker.worst_bare_us
+        self.verdict.counts["writes"] = len(self.checker.executed)
+        self.verdict.worst_bare_us = self.checker.worst_unserved_us
         self.verdict.events = list(self.checker.events)
         return self.verdict
 
@@ -254,7 +254,7 @@
         sent = clock_us()
         await asyncio.sleep(self.chance.uniform(0, LIFE_MS * 0.8) / 1000)
         if clock_us() - sent <= LIFE_MS * 1000:
-            self.checker.carry(clock_us(), node, key, number)
+            self.checker.write_executed(clock_us(), node, key, number)
 
     async def sample(self) -> None:
         """Rule 1 at clients whose stream stands."""
@@ -263,7 +263,7 @@
             now = clock_us()
             for client in self.clients:
                 if client.stream is None or client.faults.slow_eds_s or len(client.endpoints) < 2 * SLICES:
-                    self.checker.parted(client.name)
+                    self.checker.party_left(client.name)
                     continue
                 for number in range(SLICES):
                     self.checker.pick(now, client.name, number, client.reads_from(number))
--- a/lapispass/net/collectors.py
+++ b/lapispass/net/collectors.py
@@ -200,7 +200,7 @@
     def note_answer(self, connection: ClientConnection) -> None:
         """Measures how long ago the bytes came that were just answered, in the system's queues too."""
         took_us = connection.since_last_data_us()
-        if took_us is not None and self.figures.answered(took_us):
+        if took_us is not None and self.figures.count_answer(took_us):
             self.counters["collectors.answered_late"] += 1
             self.log.rate_limited(
                 "answer late", took_us=took_us, unsent=connection.unsent(), **connection.fields()
--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -59,7 +59,7 @@
         self.figures = IntervalFigures(self.limits.late_us, launch.told.unserved_limit_us // 2)
         self.collectors = Collectors(self.tell, *common, self.figures)
         self.controller = Controller(launch.told, launch.seed, self.clock.now())
-        self.slice_report = SliceReport(self.figures.lines, self.controller.handover, self.limits)
+        self.slice_report = SliceReport(self.figures.unserved, self.controller.handover, self.limits)
         self.beside: list[Beside] = []
 
     def tell(self, event: interface.Event) -> None:
@@ -204,7 +204,7 @@
             self.figures.event(now, event)
         for order in orders:
             self.figures.order(now, order)
-        self.slice_report.turned(now)
+        self.slice_report.turn_ended(now)
 
     def note_time(self, began: int) -> None:
         """Logs what a reader of the log must know of time: a turn that took long, a wall clock that was
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -63,7 +63,7 @@
         moving = self.holdings.moving()
         given = [slice_ for slice_ in moving if slice_.mark == NEVER]
         room, spare = offer.lines - len(orders), offer.deferrable_lines - len(orders)
-        cleared = self.channel.proxies.cleared(now) if moving else NEVER
+        cleared = self.channel.proxies.passed_by_all(now) if moving else NEVER
         for slice_ in moving:
             slice_.mark = min(slice_.mark, offer.barrier)  # none yet: given with an empty table
             if room > 0 and (step := self.advance(slice_, cleared)):
@@ -103,7 +103,7 @@
         closed = [owner for owner in owned if not self.placement.is_open(owner)]
         urgent = [s for owner in closed for s in owned[owner].values() if self.may_leave(s)]
         # Guards a small slice of an owner long shut out: larger ones of later owners do not pass it by.
-        out = self.shut_out.out
+        out = self.shut_out.withdrawn
         urgent.sort(key=lambda s: (out.get(s.owner, now) if s.owner is not None else now, -s.rate, s.serial))
         if not self.placement.any_open():
             return []
@@ -129,9 +129,9 @@
         """Since when proxies may have had no line to pick: the owner is shut out, or there is none."""
         if slice_.owner is None:
             return slice_.since
-        shut_out_at = self.shut_out.out.get(slice_.owner, self.turn.now)
+        shut_out_at = self.shut_out.withdrawn.get(slice_.owner, self.turn.now)
         # Until all have answered, a proxy may get the new owner and its withdrawal in one moment.
-        is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.out
+        is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.withdrawn
         return slice_.since if is_unknown else max(slice_.since, shut_out_at)
 
     def is_urgent(self, slice_: Slice) -> bool:
--- a/lapispass/policy/health.py
+++ b/lapispass/policy/health.py
@@ -88,7 +88,7 @@
         if traffic is None or tries < NEGLIGIBLE:
             self.pace, self.fine, self.read_at = 0.0, False, NEVER
         else:
-            self.pace, done = traffic.done.per_second(now), traffic.done.read(now)
+            self.pace, done = traffic.succeeded.per_second(now), traffic.succeeded.read(now)
             self.fine, self.read_at = done > max(2, 0.5 * tries), now + self.rules.pause_us
         self.reported = False
 
@@ -130,7 +130,7 @@
         if state not in RUNNING_STATES:
             return
         traffic = self.traffic or Traffic(HALF_LIFE_US, now)
-        tries, done, spent = traffic.tries.read(now), traffic.done.read(now), traffic.spent.read(now)
+        tries, done, spent = traffic.tries.read(now), traffic.succeeded.read(now), traffic.time_us.read(now)
         lost, mean = tries - done, spent / max(0.1, done)
         if self.mode != "well":
             # Guards slices that it has kept: where visits that still go there do well, it is well.
@@ -147,7 +147,7 @@
             self.turn_to("failing", f"{lost:.1f} of {tries:.1f} tries lost, the rest took {mean:.0f} us")
         elif now - self.fit_at > rules.echo_us and tries > 2:
             self.fit_at = now
-            self.adapt(lost / max(8, tries), mean / rules.agreed_us, traffic.done.per_second(now))
+            self.adapt(lost / max(8, tries), mean / rules.agreed_us, traffic.succeeded.per_second(now))
 
     def adapt(self, short: float, slow: float, pace: float) -> None:
         """Guards against a queue that makes every visit late: lets in what it completes."""
--- a/lapispass/rules/five.py
+++ b/lapispass/rules/checker.py
@@ -11,18 +11,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lapispass.rules import held
-from lapispass.rules.held import Breach, Carried, Published
+from lapispass.rules import checks
+from lapispass.rules.checks import Breach, ExecutedWrite, PublishedStep
 
 
 @dataclass
 class Bounds:
     """What the rules allow; times in us."""
 
-    bare_us: int  # rule 1: a joined party without a pick
-    grace_us: int  # rule 3: from the moment a drain was told
-    waiting_most: int = 10_000  # rule 5: what may wait for one party
-    cold_most: float = 2.5  # rule 4: of what a cold node can take
+    unserved_us: int  # rule 1: a joined party without a pick
+    drain_grace_us: int  # rule 3: from the moment a drain was told
+    max_queued: int = 10_000  # rule 5: what may wait for one party
+    max_cold_load: float = 2.5  # rule 4: of what a cold node can take
 
 
 @dataclass
@@ -32,26 +32,30 @@
     bounds: Bounds
     slice_of: Callable[[str], int]
     breaches: list[Breach] = field(default_factory=list)
-    carried: list[Carried] = field(default_factory=list)
-    published: list[Published] = field(default_factory=list)
-    bare: dict[tuple[str, int], int] = field(
+    executed: list[ExecutedWrite] = field(default_factory=list)
+    published: list[PublishedStep] = field(default_factory=list)
+    unserved_since: dict[tuple[str, int], int] = field(
         default_factory=dict
     )  # party and slice: since when without a pick
-    told: dict[str, int] = field(default_factory=dict)  # nodes that drain: since when it was told
-    worst_bare_us: int = 0
+    draining_since: dict[str, int] = field(default_factory=dict)  # nodes that drain: since when it was told
+    worst_unserved_us: int = 0
     worst_drain_us: int = 0
-    peaks: dict[str, float] = field(default_factory=dict)
-    hands: dict[int, dict[str, int]] = field(default_factory=dict)  # slice: nodes with a write in hand, until
-    newest: dict[int, tuple[int, str]] = field(default_factory=dict)  # the latest step that has taken a write
+    peak_cold_loads: dict[str, float] = field(default_factory=dict)
+    writes_in_progress: dict[int, dict[str, int]] = field(
+        default_factory=dict
+    )  # slice: nodes with a write in hand, until
+    latest_writes: dict[int, tuple[int, str]] = field(
+        default_factory=dict
+    )  # the latest step that has taken a write
     events: deque[str] = field(default_factory=lambda: deque(maxlen=80))
 
     def note(self, at_us: int, text: str) -> None:
         """What happened, for whoever reads a breach."""
         self.events.append(f"{at_us} {text}")
 
-    def breach(self, rule: str, whose: str, at_us: int, what: str) -> None:
-        found = Breach(rule, whose, at_us, what)
-        self.note(at_us, f"rule {rule} broken by {whose}: {what}")
+    def breach(self, rule: str, subject: str, at_us: int, detail: str) -> None:
+        found = Breach(rule, subject, at_us, detail)
+        self.note(at_us, f"rule {rule} broken by {subject}: {detail}")
         if len(self.breaches) < 100:
             self.breaches.append(found)
 
@@ -63,71 +67,71 @@
         The time of a drain runs from its joining, where that is later.
         """
         if node is None:
-            since = self.bare.setdefault((party, number), at_us)
-            self.worst_bare_us = max(self.worst_bare_us, at_us - since)
-            if at_us - since > self.bounds.bare_us:
+            since = self.unserved_since.setdefault((party, number), at_us)
+            self.worst_unserved_us = max(self.worst_unserved_us, at_us - since)
+            if at_us - since > self.bounds.unserved_us:
                 self.breach("1", party, at_us, f"slice {number} without a pick for {at_us - since} us")
-                self.bare[party, number] = at_us
+                self.unserved_since[party, number] = at_us
             return
-        self.bare.pop((party, number), None)
-        if (since_told := self.told.get(node)) is not None:  # rule 3
+        self.unserved_since.pop((party, number), None)
+        if (since_told := self.draining_since.get(node)) is not None:  # rule 3
             late = at_us - max(since_told, joined_us)
             self.worst_drain_us = max(self.worst_drain_us, late)
-            if late > self.bounds.grace_us:
+            if late > self.bounds.drain_grace_us:
                 self.breach("3", party, at_us, f"slice {number} goes to {node}, which drains since {late} us")
 
-    def parted(self, party: str) -> None:
+    def party_left(self, party: str) -> None:
         """It has left: its time without a pick does not count."""
-        for key in [key for key in self.bare if key[0] == party]:
-            del self.bare[key]
+        for key in [key for key in self.unserved_since if key[0] == party]:
+            del self.unserved_since[key]
 
     # rule 2
 
-    def publish(self, at_us: int, number: int, owner: str | None) -> None:
-        self.published.append(Published(at_us, number, owner))
+    def step_published(self, at_us: int, number: int, owner: str | None) -> None:
+        self.published.append(PublishedStep(at_us, number, owner))
         self.note(at_us, f"published slice {number}: {owner}")
 
-    def carry(self, at_us: int, node: str, key: str, number: str) -> None:
-        self.carried.append(Carried(at_us, node, key, number))
+    def write_executed(self, at_us: int, node: str, key: str, number: str) -> None:
+        self.executed.append(ExecutedWrite(at_us, node, key, number))
 
-    def write(self, at_us: int, party: str, number: int, node: str, step: int, until_us: int) -> None:
+    def write_sent(self, at_us: int, party: str, number: int, node: str, step: int, until_us: int) -> None:
         """A write is sent to a node by a table of that step (steps only rise); it is in hand until then."""
-        hands = self.hands.setdefault(number, {})
+        hands = self.writes_in_progress.setdefault(number, {})
         for other in [other for other, until in hands.items() if until < at_us]:
             del hands[other]
         if others := sorted(other for other in hands if other != node):
             self.breach("2", party, at_us, f"slice {number} is written at {node} and at {', '.join(others)}")
-        last, owner = self.newest.get(number, (-1, node))
+        last, owner = self.latest_writes.get(number, (-1, node))
         if step < last and node != owner:
             self.breach("2", party, at_us, f"slice {number} is written at {node}, an owner before {owner}")
         elif step >= last:
-            self.newest[number] = (step, node)
+            self.latest_writes[number] = (step, node)
         hands[node] = max(hands.get(node, 0), until_us)
 
     # rules 3, 4, 5
 
-    def drains(self, at_us: int, node: str, does: bool) -> None:
+    def set_draining(self, at_us: int, node: str, does: bool) -> None:
         """The list says so to the controller now."""
         if does:
-            self.told.setdefault(node, at_us)
+            self.draining_since.setdefault(node, at_us)
         else:
-            self.told.pop(node, None)
+            self.draining_since.pop(node, None)
         self.note(at_us, f"node {node} {'drains' if does else 'is ready'}")
 
-    def cold(self, at_us: int, node: str, share: float) -> None:
+    def cold_load(self, at_us: int, node: str, share: float) -> None:
         """What a cold node is sent, as a share of what it can take."""
-        self.peaks[node] = max(self.peaks.get(node, 0.0), share)
-        if share > self.bounds.cold_most:
+        self.peak_cold_loads[node] = max(self.peak_cold_loads.get(node, 0.0), share)
+        if share > self.bounds.max_cold_load:
             self.breach("4", node, at_us, f"sent {share:.2f} times what it can take")
 
-    def waiting(self, at_us: int, party: str, count: int) -> None:
+    def queued(self, at_us: int, party: str, count: int) -> None:
         """What waits for a party."""
-        if count > self.bounds.waiting_most:
+        if count > self.bounds.max_queued:
             self.breach("5", party, at_us, f"{count} wait")
 
     def verdict(self) -> list[Breach]:
         """All breaches; the writes are checked as a whole, against every step that was published."""
-        found = held.writes(self.carried, self.published, self.slice_of)
+        found = checks.check_writes(self.executed, self.published, self.slice_of)
         for breach in found:
-            self.note(breach.at_us, f"rule {breach.rule}: {breach.whose}: {breach.what}")
+            self.note(breach.at_us, f"rule {breach.rule}: {breach.subject}: {breach.detail}")
         return self.breaches + found
--- a/lapispass/rules/held.py
+++ b/lapispass/rules/checks.py
@@ -11,12 +11,12 @@
     """A rule that was broken: which, whose, when, and what shows it."""
 
     rule: str
-    whose: str
+    subject: str
     at_us: int
-    what: str
+    detail: str
 
 
-class Carried(NamedTuple):
+class ExecutedWrite(NamedTuple):
     """A write that a node carried out."""
 
     at_us: int
@@ -25,7 +25,7 @@
     number: str
 
 
-class Published(NamedTuple):
+class PublishedStep(NamedTuple):
     """A step that was published for a slice: an owner, or none for the empty step."""
 
     at_us: int
@@ -33,8 +33,8 @@
     owner: str | None
 
 
-def writes(
-    carried: Iterable[Carried], published: Iterable[Published], slice_of: Callable[[str], int]
+def check_writes(
+    carried: Iterable[ExecutedWrite], published: Iterable[PublishedStep], slice_of: Callable[[str], int]
 ) -> list[Breach]:
     """Rule 2: no write twice, none at a node that another one has followed, none at one that was never the
     owner.
@@ -43,10 +43,10 @@
     for.
     """
     breaches: list[Breach] = []
-    steps: dict[int, list[Published]] = {}
+    steps: dict[int, list[PublishedStep]] = {}
     for step in sorted(published):
         steps.setdefault(step.slice, []).append(step)
-    seen: dict[str, Carried] = {}
+    seen: dict[str, ExecutedWrite] = {}
     for write in sorted(carried):
         if write.number in seen:
             first = seen[write.number]
@@ -76,7 +76,7 @@
     return breaches
 
 
-class Ended(NamedTuple):
+class ConnectionEnd(NamedTuple):
     """The end of a connection at a node."""
 
     at_us: int
@@ -84,8 +84,8 @@
     code: int
 
 
-def drains(
-    ends: Iterable[Ended], left_over: dict[str, int], deadlines: dict[str, int], slack_us: int
+def check_drains(
+    ends: Iterable[ConnectionEnd], left_over: dict[str, int], deadlines: dict[str, int], slack_us: int
 ) -> list[Breach]:
     """Rule 3: at a node that drains nothing is held after its deadline, and each end had a close frame."""
     breaches = [
@@ -109,7 +109,7 @@
     return breaches
 
 
-def bursts(ends: Iterable[Ended], span_us: int, most: int) -> list[Breach]:
+def check_bursts(ends: Iterable[ConnectionEnd], span_us: int, most: int) -> list[Breach]:
     """No more ends within any one span than stated."""
     counts = Counter(end.at_us // span_us for end in ends)
     return [
@@ -119,7 +119,7 @@
     ]
 
 
-def pushed(peaks: dict[str, float], fallen: Iterable[str], most: float) -> list[Breach]:
+def check_cold_load(peaks: dict[str, float], fallen: Iterable[str], most: float) -> list[Breach]:
     """Rule 4: no cold node is sent more than the stated multiple of what it can take, and none falls over."""
     breaches = [
         Breach("4", node, 0, f"sent {peak:.2f} times what it can take, {most:.2f} at most")
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -17,7 +17,7 @@
 from functools import partial
 
 from lapispass import interface
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.fleet_parties import (
     MS,
     READ,
@@ -178,7 +178,7 @@
         stream.joined_at, stream.left_at = -1, self.now
         stream.waiting.clear()
         stream.travelling.clear()
-        self.judge.parted(f"p{number}")
+        self.judge.party_left(f"p{number}")
         if process := host.process:
 
             def noticed() -> None:
@@ -409,7 +409,7 @@
                 host.written += lines
                 stream.waiting.append(Message(host.written, self.now, steps))
                 host.events += [interface.BarrierAck(number, mark, 50 * MS) for mark in marks]
-        self.judge.waiting(self.now, f"channel of n{host.number}", int(host.written - host.left))
+        self.judge.queued(self.now, f"channel of n{host.number}", int(host.written - host.left))
 
     def seen(self) -> tuple[int, ...]:
         """What the parties saw, in figures."""
@@ -420,6 +420,6 @@
     def verdict(self) -> list[str]:
         """Each breach in a line: when, which rule, whose, and what shows it."""
         return [
-            f"{found.at_us / SECOND:.2f} s: rule {found.rule}: {found.whose}: {found.what}"
+            f"{found.at_us / SECOND:.2f} s: rule {found.rule}: {found.subject}: {found.detail}"
             for found in self.judge.breaches
         ]
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -61,7 +61,7 @@
             self.stalled.pop(number, None)
             return False
         if until - self.world.now > STALL_MOST:
-            self.world.judge.parted(f"p{number}")
+            self.world.judge.party_left(f"p{number}")
         return True
 
     def read_afresh(self, slice_: int) -> None:
@@ -145,7 +145,7 @@
             self.check_unassigned(party, slice_, host, late_us)
             owner = None
         else:
-            world.judge.bare.pop((party, slice_), None)
+            world.judge.unserved_since.pop((party, slice_), None)
         coming = world.chance.random() < REQUESTS_PER_S * STEP / SECOND
         if owner is None or not coming:
             if coming and charge is not None:
@@ -174,7 +174,7 @@
             self.push(owner, world.servers[owner], charge, stream)
             if kind == WRITE:
                 until = world.now + int(world.chance.random() * world.deployment.linger_us)
-                world.judge.write(world.now, party, slice_, owner, step, until)
+                world.judge.write_sent(world.now, party, slice_, owner, step, until)
 
     def followed_since(self, number: int, slice_: int, stream: Stream | None) -> int:
         """Now, or since when the proxy is without the slice's controller."""
@@ -192,12 +192,12 @@
         """
         world = self.world
         if host is None or host.troubled_until + late_us > world.now:
-            world.judge.bare.pop((party, slice_), None)
+            world.judge.unserved_since.pop((party, slice_), None)
         elif any(
             entry.state == "ready" and world.now - (entry.started_us or 0) > world.deployment.cold_us
             for entry in world.list.values()
         ):
-            world.judge.bare.setdefault((party, slice_), max(world.now, world.given_at[slice_]))
+            world.judge.unserved_since.setdefault((party, slice_), max(world.now, world.given_at[slice_]))
             world.judge.pick(world.now - late_us, party, slice_, None)
 
     def is_lost(self, server: Server) -> bool:
@@ -213,7 +213,7 @@
         told_at = max(heard_at, stream.joined_at, self.world.given_at[slice_])
         late = self.world.now - told_at - late_us
         self.world.judge.worst_drain_us = max(self.world.judge.worst_drain_us, late)
-        if late > self.world.judge.bounds.grace_us:
+        if late > self.world.judge.bounds.drain_grace_us:
             what = f"slice {slice_} goes to {owner} {late / SECOND:.2f} s after n{host.number} was told"
             self.world.judge.breach("3", party, self.world.now, what)
 
@@ -224,14 +224,14 @@
             return
         fresh = None if charge is None else self.world.hosts[charge].fresh.get(f"{name} {server.born}")
         knows = stream is not None and fresh is not None and stream.applied >= fresh
-        if fresh is None or not (knows or self.world.now - fresh > self.world.judge.bounds.grace_us):
+        if fresh is None or not (knows or self.world.now - fresh > self.world.judge.bounds.drain_grace_us):
             return
         server.sent.append(self.world.now)
         while server.sent[0] <= self.world.now - FALL:
             server.sent.popleft()
         can = warmth * server.able * FALL / SECOND
         over = max(0.0, len(server.sent) - 6) / can  # a little slack for chance
-        self.world.judge.cold(self.world.now, name, over)
+        self.world.judge.cold_load(self.world.now, name, over)
 
     def count(self, charge: int, slice_: int, kind: int) -> None:
         """A request that came, as its controller is told in sums."""
--- a/lapispass/standins/platform.py
+++ b/lapispass/standins/platform.py
@@ -16,7 +16,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlencode
 
-from lapispass.rules.held import Published
+from lapispass.rules.checks import PublishedStep
 from lapispass.standins.http import CHUNKED, Conversation, Host, Request, chunk, response
 from lapispass.standins.nodes import clock_us
 
@@ -159,7 +159,7 @@
         self.zones, self.sign_s = zones, sign_s
         self.charges: dict[str, Sequence[int]] = {}  # the slices of a client; all where nothing is said
         self.owners: dict[int, str] = {}
-        self.published: list[Published] = []
+        self.published: list[PublishedStep] = []
         self.orders: list[str] = []
         self.news: dict[str, list[Conversation]] = {}  # by client
         self.refuses = False  # every call is turned back as throttled
@@ -240,10 +240,10 @@
         match order:
             case ["SET", number, node, _]:
                 self.owners[int(number)] = node
-                self.published.append(Published(clock_us(), int(number), node))
+                self.published.append(PublishedStep(clock_us(), int(number), node))
             case ["DEL", number]:
                 self.owners.pop(int(number), None)
-                self.published.append(Published(clock_us(), int(number), None))
+                self.published.append(PublishedStep(clock_us(), int(number), None))
             case ["SYNC", mark, _] if client in self.shared:
                 later_s = 1.5 * self.answer_s
                 asyncio.get_running_loop().call_later(later_s, self.acknowledge_one, mark, client, later_s)
--- a/lapispass/standins/proxy_streams.py
+++ b/lapispass/standins/proxy_streams.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.rules.five import Checker
+from lapispass.rules.checker import Checker
 from lapispass.standins.http import CHUNKED, Conversation, chunk
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.platform import Relay, event
@@ -217,7 +217,7 @@
         proxy.joined = False
         if proxy.has_read:  # else its writes have ended, or end, by the lease of an earlier stream
             proxy.broken_at = loop.time()
-        self.checker.parted(f"p{number}")
+        self.checker.party_left(f"p{number}")
         notice_s = self.chance.uniform(0, self.pace.notice_s)
         loop.call_later(notice_s, self.say, [event("CLOSED", node=number)])
 
@@ -235,12 +235,12 @@
         """Tells the checker what each proxy could pick now; no time limit runs before `since_us`."""
         self.judged_since_us = since_us
         for server, at_us in told_us.items():
-            if server not in self.checker.told:
-                self.checker.drains(at_us, server, True)
+            if server not in self.checker.draining_since:
+                self.checker.set_draining(at_us, server, True)
         now = clock_us()
         for number, proxy in enumerate(self.parties):
             if asyncio.get_running_loop().time() < proxy.stalled_until:
-                self.checker.parted(f"p{number}")  # it picks nothing, and sends nothing
+                self.checker.party_left(f"p{number}")  # it picks nothing, and sends nothing
                 continue
             self.take(number, proxy.stream)  # what came while it stood still goes before its next request
             if proxy.joined:
@@ -262,4 +262,4 @@
         until_us = now + int(self.pace.linger_s * 1e6)
         for slice_, row in proxy.rows.items():
             if row.owner is not None and row.owner not in proxy.out and row.writes:
-                self.checker.write(now, f"p{number}", slice_, row.owner, row.step, until_us)
+                self.checker.write_sent(now, f"p{number}", slice_, row.owner, row.step, until_us)
--- a/tests/proxy_days.py
+++ b/tests/proxy_days.py
@@ -27,7 +27,7 @@
 from two_controllers import SETTINGS, Fleet
 
 from lapispass.lab.scale.size import CLASSES
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.proxy_streams import Pace, ProxyStreams
 
@@ -127,10 +127,10 @@
             self.fleet.close()
             self.proxies.stop()
         self.verdict.breaches += [
-            f"rule {one.rule}: {one.whose}: {one.what}" for one in self.checker.verdict()
+            f"rule {one.rule}: {one.subject}: {one.detail}" for one in self.checker.verdict()
         ]
         self.verdict.moves = len(self.proxies.published)
-        self.verdict.longest_gap_s = self.checker.worst_bare_us / 1e6
+        self.verdict.longest_gap_s = self.checker.worst_unserved_us / 1e6
         return self.verdict
 
     async def judge(self) -> None:
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -24,8 +24,8 @@
 from lapispass.net.launch import Launch
 from lapispass.net.service import Service
 from lapispass.operator import read as operator
-from lapispass.rules.held import Breach, Carried, Published
-from lapispass.rules.held import writes as rule_of_writes
+from lapispass.rules.checks import Breach, ExecutedWrite, PublishedStep
+from lapispass.rules.checks import check_writes as rule_of_writes
 from lapispass.standins.nodes import CounterNode
 from lapispass.standins.platform import Member, Registry, Relay
 
@@ -187,7 +187,9 @@
             self.registry.members[name] = Member(name, node.address, node.zone)
         names = sorted(self.nodes)
         self.relay.owners = {number: names[number % len(names)] for number in range(self.told.slices)}
-        self.relay.published += [Published(0, number, owner) for number, owner in self.relay.owners.items()]
+        self.relay.published += [
+            PublishedStep(0, number, owner) for number, owner in self.relay.owners.items()
+        ]
         await self.registry.start()
         await self.relay.start()
         await self.controller()
@@ -256,7 +258,7 @@
 
     def breaches(self) -> list[Breach]:
         """Rule 2 on what the nodes saw and the store was told."""
-        writes = [Carried(*write) for node in self.nodes.values() for write in node.writes]
+        writes = [ExecutedWrite(*write) for node in self.nodes.values() for write in node.writes]
         return rule_of_writes(writes, self.relay.published, lambda key: slice_of(key, self.told.slices))
 
     async def stop(self) -> None:
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -202,7 +202,7 @@
         orders = controller.turn(now, [])
         lifted += [order.backend for order in orders if isinstance(order, interface.SetWithdrawn)]
         controller.turn(now, acknowledgements(orders, 400, 90 * MS))
-        assert controller.channel.waiting <= told.queue_limit_lines / 4 + 400 * 2
+        assert controller.channel.queued_lines <= told.queue_limit_lines / 4 + 400 * 2
     assert sorted(lifted) == ([] if met else [server.backend for server in servers])
     controller.turn(now, joined[:1] if met else [interface.ProxyJoined(7, False, "east", 1.0)])
     orders = controller.turn(now + SECOND, [registry_changes(servers[4]._replace(state="draining"))])
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -70,7 +70,7 @@
     )
     heard += [CODEC.news(kind, data) for kind, data in NEWS]
     heard = [event._replace(backend=7) if hasattr(event, "backend") else event for event in heard]
-    assert heard == [event for _, event in batch.news]
+    assert heard == [event for _, event in batch.events]
 
 
 def test_load_reports_stand_in_the_order_of_the_deployment() -> None:
@@ -256,7 +256,7 @@
     controller = Controller(deployment(slices=1, proxies=1), 1, 0)
     controller.turn(0, [interface.ProxyJoined(0, True, "a", 1.0), interface.SliceGrant(0, True)])
     controller.turn(1, [now.news("ACK", f"node=0&nonce={late}&latency=1")])
-    assert controller.channel.proxies.joined[0].answered < 0
+    assert controller.channel.proxies.joined[0].acknowledged < 0
 
 
 def test_the_same_events_give_the_same_orders_through_both_fronts() -> None:
@@ -343,7 +343,7 @@
                         codec.news("ACK", f"node={node}&nonce={nonce}&latency=50.0"),
                     )
         (batch,) = read_batches(io.StringIO("\n".join((f"SYNC\t{now}\t{number}", *lines, "EOF_BATCH", ""))))
-        orders = there.turn(now, [event for _, event in batch.news])
+        orders = there.turn(now, [event for _, event in batch.events])
         mine = here.turn(now, events)
         assert [
             order if not hasattr(order, "backend") else order._replace(backend=f"s-{order.backend}")
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -98,9 +98,9 @@
     for held in (
         controller.backends,
         controller.agenda,
-        shut_out.out,
-        shut_out.again,
-        shut_out.said,
+        shut_out.withdrawn,
+        shut_out.to_resend,
+        shut_out.sent_under,
         table.holdings.relief_at,
         placement.loads,
     ):
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -9,7 +9,7 @@
 
 from lapispass import interface
 from lapispass.drill.__main__ import main
-from lapispass.drill.codec import read_batches, written
+from lapispass.drill.codec import format_order, read_batches
 
 ENV = json.dumps(
     {
@@ -37,7 +37,7 @@
     ]
     text = "SYNC\t7\t1\n" + "\n".join(lines) + "\nEOF_BATCH\n\nSYNC\t8\t2\nEOF_BATCH"
     batch, empty = read_batches(io.StringIO(text))
-    assert [event for _, event in batch.news] == [
+    assert [event for _, event in batch.events] == [
         interface.ServerReport(6, "z", 1, 14, 4, 5, (0.5, None)),
         interface.ServerReport(6, "z", 1, 14, 4, 5, None),
         interface.RegistryUpdate("changes", (interface.RegistryEntry(9, "z", "draining", None, None),)),
@@ -45,7 +45,7 @@
         interface.BarrierAck(41, 12, 5),
         interface.ProxyJoined(41, True, "z", 6.5, reads_store=True),
     ]
-    assert batch.now == 7 and empty.news == [] and empty.round_number == 2
+    assert batch.now == 7 and empty.events == [] and empty.round_number == 2
 
 
 @pytest.mark.parametrize(
@@ -64,7 +64,7 @@
     ],
 )
 def test_orders_are_written(order: interface.Order, line: str) -> None:
-    assert written(3, order) == line
+    assert format_order(3, order) == line
 
 
 def test_an_instance_starts_is_killed_and_starts_again_in_one_batch() -> None:
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -12,7 +12,7 @@
 from lapispass import interface
 from lapispass.cli.main import app
 from lapispass.core.messages import SendBudget
-from lapispass.core.shut_out import ShutOut
+from lapispass.core.withdrawn import WithdrawnServers
 from lapispass.lab import fleet as days
 from lapispass.policy.channel import Channel
 from lapispass.standins.fleet import World
@@ -126,8 +126,8 @@
     offer = Channel.offer
 
     def blind(channel: Channel) -> SendBudget | None:
-        channel.left = channel.lines
-        channel.turns.clear()
+        channel.lines_delivered = channel.lines_written
+        channel.pending_barriers.clear()
         return offer(channel)
 
     monkeypatch.setattr(Channel, "offer", blind)
@@ -143,7 +143,7 @@
 
 
 def test_the_checker_finds_a_withdrawal_forgotten_for_joiners(monkeypatch) -> None:
-    monkeypatch.setattr(ShutOut, "missed", lambda shut_out, note: None)
+    monkeypatch.setattr(WithdrawnServers, "proxy_joined", lambda shut_out, note: None)
     found = [
         breach
         for seed in range(2)
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -19,7 +19,7 @@
 from lapispass.core.plans import Plan, Version
 from lapispass.core.tables import slice_of
 from lapispass.gate import wire
-from lapispass.rules.held import Ended, drains, pushed
+from lapispass.rules.checks import ConnectionEnd, check_cold_load, check_drains
 from lapispass.standins.nodes import CounterNode, Strength, clock_us
 from lapispass.standins.screens import Screen
 from lapispass.standins.xds_client import XdsClient
@@ -46,8 +46,8 @@
     return held
 
 
-def ends_at(stand: Fleet, *names: str) -> list[Ended]:
-    return [Ended(end.at_us, end.node, end.code) for name in names for end in stand.nodes[name].ends]
+def ends_at(stand: Fleet, *names: str) -> list[ConnectionEnd]:
+    return [ConnectionEnd(end.at_us, end.node, end.code) for name in names for end in stand.nodes[name].ends]
 
 
 async def test_a_drain_told_by_the_registry_moves_writers_after_the_handover(tmp_path: Path) -> None:
@@ -84,7 +84,7 @@
         deadlines = dict.fromkeys(leaving, begun + 2_500 * MS)
         left = {name: len(stand.nodes[name].held) for name in leaving}
         ends = ends_at(stand, *leaving)
-        assert drains(ends, left, deadlines, 0) == [] and len(ends) == standing
+        assert check_drains(ends, left, deadlines, 0) == [] and len(ends) == standing
         thirds = Counter(min(2, (end.at_us - begun) // (650 * MS)) for end in ends)
         assert min(thirds[0], thirds[1], thirds[2]) > standing // 6, (
             thirds
@@ -110,7 +110,7 @@
         await until(lambda: not any(nodes[name].held for name in ("n0", "n1", "n2")), 15)
         peaks = {name: max(node.peak_new, node.peak_held) for name, node in stand.nodes.items()}
         fallen = [name for name, node in stand.nodes.items() if node.fell_at]
-        assert pushed({"n3": peaks["n3"]}, fallen, 1.5) == []
+        assert check_cold_load({"n3": peaks["n3"]}, fallen, 1.5) == []
         assert all(end.code != 1006 for end in ends_at(stand, "n0", "n1", "n2"))
         for board in held:
             await board.close()
--- a/tests/test_interval_figures.py
+++ b/tests/test_interval_figures.py
@@ -44,7 +44,7 @@
     for backend, lost, took_us in (("a", 0, 40_000), ("b", 5, 70_000), ("c", 10, 900_000)):
         figures.event(0, interface.ServerReport(backend, "z", lost, 10, took_us, SECOND_US, None))
     figures.event(0, interface.BarrierAck(1, 7, 310_000))
-    assert [figures.answered(took_us) for took_us in (100_000, 100_001, 3)] == [False, True, False]
+    assert [figures.count_answer(took_us) for took_us in (100_000, 100_001, 3)] == [False, True, False]
     figures.turn_took(12)
     figures.call_took(13)
     assert figures.take(SECOND_US) == Figures(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -29,7 +29,7 @@
 from lapispass.operator import read as operator
 from lapispass.peers.coordination import Compacted, Delete, Expect, Put, Service, Unknown
 from lapispass.peers.host import SharedHost
-from lapispass.rules.held import Carried, Published, writes
+from lapispass.rules.checks import ExecutedWrite, PublishedStep, check_writes
 from lapispass.standins.coordination import Coordination
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import XdsClient
@@ -383,8 +383,8 @@
 async def test_no_block_has_two_writers_while_controllers_are_killed(tmp_path: Path) -> None:
     """`lapispass lab peers` plays this for ten minutes, with pauses."""
     chance = random.Random(3)
-    published: list[Published] = []
-    carried: list[Carried] = []
+    published: list[PublishedStep] = []
+    carried: list[ExecutedWrite] = []
 
     def watched(host: SharedHost) -> None:
         show = host.show
@@ -393,14 +393,14 @@
             if mark is not None:
                 for change in changes:
                     if hasattr(change, "owner"):
-                        published.append(Published(clock_us(), change.slice, change.owner))
+                        published.append(PublishedStep(clock_us(), change.slice, change.owner))
             show(changes, mark)
 
         host.show = shown  # type: ignore[method-assign]
 
     async with shared(tmp_path, "a", "b") as stand:
         for number, owner in stand.hosts["a"].snapshot.owners.items():
-            published.append(Published(0, number, owner))
+            published.append(PublishedStep(0, number, owner))
         for host in stand.hosts.values():
             watched(host)
         clients = [XdsClient(host.desk.address, f"c{n}", n) for n, host in enumerate(stand.hosts.values())]
@@ -416,7 +416,7 @@
                 client, key = chance.choice(clients), f"k{chance.randrange(30)}"
                 if node := client.writes_to(slice_of(key, 12)):
                     sent += 1
-                    carried.append(Carried(clock_us(), node, key, str(sent)))
+                    carried.append(ExecutedWrite(clock_us(), node, key, str(sent)))
             victim = chance.choice(sorted(stand.hosts))
             await stand.kill(victim)
             watched(await stand.start(victim))
@@ -425,4 +425,4 @@
                 client.drop()
         await until(stand.whole, 15)
         await ended(*running)
-        assert sent > 50 and writes(carried, published, lambda key: slice_of(key, 12)) == []
+        assert sent > 50 and check_writes(carried, published, lambda key: slice_of(key, 12)) == []
--- a/tests/test_proxies.py
+++ b/tests/test_proxies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lapispass import interface
-from lapispass.core.proxies import READ_US, Proxies
+from lapispass.core.proxies import STORE_READ_US, Proxies
 from lapispass.core.units import NEVER, SECOND_US
 
 LEASE = 2 * SECOND_US
@@ -25,11 +25,11 @@
         self.proxies.join(interface.ProxyJoined(number, first, "east", None, reads_store), 0.0, now)
 
     def answer(self, now: int, number: int, mark: int = MARK) -> None:
-        self.proxies.answer(self.proxies.joined[number], mark, mark, now)
+        self.proxies.acknowledge(self.proxies.joined[number], mark, mark, now)
 
     def waits_for(self, now: int) -> list[int]:
-        found = self.proxies.unclear(MARK, now)
-        assert (self.proxies.cleared(now) >= MARK) == (not found)
+        found = self.proxies.not_passed_by(MARK, now)
+        assert (self.proxies.passed_by_all(now) >= MARK) == (not found)
         return found
 
 
@@ -77,10 +77,10 @@
     known.answer(SECOND_US, 0)
     known.answer(SECOND_US, 1)
     known.join(8 * SECOND_US, 7)
-    assert known.waits_for(8 * SECOND_US + READ_US - 1) == [7]
-    assert known.waits_for(8 * SECOND_US + READ_US) == []
-    known.proxies.leave(7, 8 * SECOND_US + READ_US)  # with what it has read
-    assert known.waits_for(8 * SECOND_US + READ_US) == []
+    assert known.waits_for(8 * SECOND_US + STORE_READ_US - 1) == [7]
+    assert known.waits_for(8 * SECOND_US + STORE_READ_US) == []
+    known.proxies.leave(7, 8 * SECOND_US + STORE_READ_US)  # with what it has read
+    assert known.waits_for(8 * SECOND_US + STORE_READ_US) == []
 
 
 def test_one_that_leaves_before_it_has_read_the_store_is_waited_for_again() -> None:
@@ -88,9 +88,9 @@
     known.answer(SECOND_US, 0)
     known.answer(SECOND_US, 1)
     known.join(8 * SECOND_US, 7)
-    known.proxies.leave(7, 8 * SECOND_US + READ_US - 1)
-    assert known.waits_for(8 * SECOND_US + READ_US + LEASE - 2) == [7]
-    assert known.waits_for(8 * SECOND_US + READ_US + LEASE - 1) == []
+    known.proxies.leave(7, 8 * SECOND_US + STORE_READ_US - 1)
+    assert known.waits_for(8 * SECOND_US + STORE_READ_US + LEASE - 2) == [7]
+    assert known.waits_for(8 * SECOND_US + STORE_READ_US + LEASE - 1) == []
 
 
 def test_one_that_joins_later_and_was_gone_for_less_than_a_lease_may_write_by_what_it_held() -> None:
@@ -135,11 +135,11 @@
     known = Known()
     for number in (0, 1):
         known.proxies.leave(number, 0)
-    assert known.proxies.cleared(LEASE) == NEVER
+    assert known.proxies.passed_by_all(LEASE) == NEVER
 
 
 def test_answers_are_remembered_for_a_lease_only() -> None:
     known = Known()
     for mark in range(MARK, 2000):
         known.answer(mark * SECOND_US, 0, mark)
-    assert len(known.proxies._first_answers) <= LEASE // SECOND_US
+    assert len(known.proxies._first_acks) <= LEASE // SECOND_US
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -9,7 +9,7 @@
 import pytest
 from proxy_days import BARE_S, PROXIES, Day, Trouble, play_day
 
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.proxy_streams import Pace, Proxy, ProxyStreams, Row
 
@@ -77,7 +77,7 @@
 
 
 def broken(proxies: ProxyStreams) -> set[tuple[str, str]]:
-    return {(breach.rule, breach.whose) for breach in proxies.checker.verdict()}
+    return {(breach.rule, breach.subject) for breach in proxies.checker.verdict()}
 
 
 async def order(proxies: ProxyStreams, *orders: str) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -121,7 +121,7 @@
         now += 50 * MS
         orders, news = controller.turn(now, news), []
         told += orders
-        assert controller.channel.waiting <= 0.8 * 3 * MANY * 40 / 3
+        assert controller.channel.queued_lines <= 0.8 * 3 * MANY * 40 / 3
         controller.turn(now, acknowledgements(orders, 40, 50 * MS))
     assert {order.backend for order in told if isinstance(order, interface.SetWithdrawn)} == {
         f"s-{n}" for n in range(0, MANY, 2)
@@ -157,7 +157,7 @@
 def test_the_drill_takes_a_list_of_1024() -> None:
     entries = "\n".join(f"ENTRY\t{n}\teast\tm2\t0\tlive\t1\t-" for n in range(MANY))
     batches = read_batches(StringIO(f"SYNC\t5000\t1\nTOPOLOGY\t3\ttotal\t41\t{MANY}\n{entries}\nEOF_BATCH\n"))
-    events = [event for batch in batches for _, event in batch.news]
+    events = [event for batch in batches for _, event in batch.events]
     assert len(events) == 1 and len(events[0].entries) == MANY
 
 
@@ -229,15 +229,15 @@
                         controller.current.updated_servers,
                         controller.current.awaiting_reports,
                         controller.fleet.paces,
-                        table.shut_out.out,
-                        table.shut_out.again,
-                        table.shut_out.repeats,
-                        table.shut_out.said,
+                        table.shut_out.withdrawn,
+                        table.shut_out.to_resend,
+                        table.shut_out.resending,
+                        table.shut_out.sent_under,
                         table.holdings.relief_at,
                         table.holdings.unsettled,
                         table.holdings.agenda,
-                        channel.turns,
-                        channel.written,
+                        channel.pending_barriers,
+                        channel.sent_at,
                         channel.proxies,
                     ),
                 )
--- a/tests/test_turn_cost.py
+++ b/tests/test_turn_cost.py
@@ -149,7 +149,7 @@
 
     def join(number: int, first: bool, answered: int) -> Proxy:
         proxy = proxies.join(interface.ProxyJoined(number, first, "east", None), 0.0, now)
-        proxies.answer(proxy, answered, answered, now)
+        proxies.acknowledge(proxy, answered, answered, now)
         return proxy
 
     for number in range(2000):  # numbers that come once and go
@@ -158,12 +158,12 @@
         proxies.leave(10 + number, now + 1)
     assert len(proxies) < 20
     join(5, False, 7)
-    assert proxies.cleared(now + SECOND // 2) == 7
-    assert proxies.cleared(now + 1) == 7
+    assert proxies.passed_by_all(now + SECOND // 2) == 7
+    assert proxies.passed_by_all(now + 1) == 7
     proxies.leave(5, now + SECOND)
-    assert proxies.cleared(now + SECOND + lease - 1) == 7  # it may write until its lease is out
-    assert proxies.cleared(now + SECOND + lease) == NEVER
-    assert join(5, False, 8).took == 7
+    assert proxies.passed_by_all(now + SECOND + lease - 1) == 7  # it may write until its lease is out
+    assert proxies.passed_by_all(now + SECOND + lease) == NEVER
+    assert join(5, False, 8).acknowledged_before == 7
 
 
 def test_without_slices_a_server_that_left_is_forgotten_once_its_lines_are_out() -> None:
--- a/tests/test_slice_lines.py
+++ b/tests/test_unserved_slices.py
@@ -7,12 +7,12 @@
 from lapispass import interface
 from lapispass.core.handover_state import Progress
 from lapispass.core.interval_figures import Figures, IntervalFigures
-from lapispass.core.slice_lines import Gap, SliceLines
 from lapispass.core.units import SECOND_US
+from lapispass.core.unserved_slices import UnservedSlices, UnservedSpan
 
 
-def lines(*owners: str) -> SliceLines:
-    followed = SliceLines(10 * SECOND_US)
+def lines(*owners: str) -> UnservedSlices:
+    followed = UnservedSlices(10 * SECOND_US)
     for slice_, owner in enumerate(owners):
         followed.event(0, interface.SliceGrant(slice_, True))
         followed.event(0, interface.StoredOwner(slice_, owner))
@@ -24,10 +24,10 @@
     followed.order(1 * SECOND_US, interface.SetWithdrawn("a", True))
     followed.order(9 * SECOND_US, interface.ClearTable(0))
     assert followed.overdue(11 * SECOND_US) == []
-    assert followed.overdue(12 * SECOND_US) == [Gap(0, None, 11 * SECOND_US)]
+    assert followed.overdue(12 * SECOND_US) == [UnservedSpan(0, None, 11 * SECOND_US)]
     assert followed.overdue(13 * SECOND_US) == []  # told once
     followed.order(14 * SECOND_US, interface.SetTableEntry(0, "b", 1.0))
-    assert followed.take_ended() == [Gap(0, "b", 13 * SECOND_US)]
+    assert followed.take_ended() == [UnservedSpan(0, "b", 13 * SECOND_US)]
     assert followed.take_ended() == [] and followed.take_longest(20 * SECOND_US) == 13 * SECOND_US
     assert followed.take_longest(20 * SECOND_US) == 0
 
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -24,7 +24,7 @@
 from lapispass.net.log import Part
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile
-from lapispass.rules.held import Breach
+from lapispass.rules.checks import Breach
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
 from lapispass.xds.host import Host
@@ -485,13 +485,17 @@
 
 
 def test_the_checker_sees_a_write_at_a_former_owner() -> None:
-    from lapispass.rules.held import Carried, Published, writes
-
-    steps = [Published(0, 0, "a"), Published(10, 0, None), Published(20, 0, "b")]
-    good = [Carried(5, "a", "k", "1"), Carried(15, "a", "k", "2"), Carried(25, "b", "k", "3")]
-    assert writes(good, steps, lambda key: 0) == []
-    late = writes([*good, Carried(26, "a", "k", "4")], steps, lambda key: 0)
-    twice = writes([*good, Carried(30, "b", "k", "1")], steps, lambda key: 0)
+    from lapispass.rules.checks import ExecutedWrite, PublishedStep, check_writes
+
+    steps = [PublishedStep(0, 0, "a"), PublishedStep(10, 0, None), PublishedStep(20, 0, "b")]
+    good = [
+        ExecutedWrite(5, "a", "k", "1"),
+        ExecutedWrite(15, "a", "k", "2"),
+        ExecutedWrite(25, "b", "k", "3"),
+    ]
+    assert check_writes(good, steps, lambda key: 0) == []
+    late = check_writes([*good, ExecutedWrite(26, "a", "k", "4")], steps, lambda key: 0)
+    twice = check_writes([*good, ExecutedWrite(30, "b", "k", "1")], steps, lambda key: 0)
     assert [breach.rule for breach in late + twice] == ["2", "2"]
     assert slice_of("k", 1) == 0
 
@@ -509,7 +513,7 @@
         day.host = SimpleNamespace(
             desk=SimpleNamespace(clients={"c0": (standing,)}), clock=SimpleNamespace(now=clock_us)
         )
-        day.checker.drains(clock_us() - 1_200_000, "n2", True)
+        day.checker.set_draining(clock_us() - 1_200_000, "n2", True)
         day.thaw()
 
         async def sampled() -> int:
@@ -531,8 +535,8 @@
     async def test() -> None:
         day = drops.Day(1, tmp_path, drops.Duration())
         await day.carry("n0", "k1", "c0-1", clock_us() - 160_000)
-        assert not day.checker.carried
+        assert not day.checker.executed
         await day.carry("n0", "k1", "c0-2", clock_us())
-        assert [write.number for write in day.checker.carried] == ["c0-2"]
+        assert [write.number for write in day.checker.executed] == ["c0-2"]
 
     play(test())
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -32,7 +32,7 @@
 from lapispass import deployment
 from lapispass.lab.scale import settings
 from lapispass.lab.scale.size import Size
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.collectors import Collectors, Load
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.platform import Member, Registry, Relay, event
@@ -106,8 +106,8 @@
         """Judges what proxies hold now; no time limit runs before `since_us`."""
         now, checker = clock_us(), self.checker
         for server, at_us in told_us.items():
-            if server not in checker.told:
-                checker.drains(at_us, server, True)
+            if server not in checker.draining_since:
+                checker.set_draining(at_us, server, True)
             self.judge_withdrawal(now, server, max(at_us, since_us))
         for zone in ZONES:
             for number, (owner, is_open) in self.tables[zone].items():
@@ -115,7 +115,7 @@
                 checker.pick(now, zone, number, reached, since_us)
                 if reached is not None and is_open:
                     until_us = now + TOLD.linger_us
-                    checker.write(now, zone, number, reached, self.steps[zone][number], until_us)
+                    checker.write_sent(now, zone, number, reached, self.steps[zone][number], until_us)
 
     def judge_withdrawal(self, now: int, server: str, since_us: int) -> None:
         """A server that drains is withdrawn in time where it owns a slice; since when is as told."""
@@ -129,7 +129,7 @@
     def stop_judging(self) -> None:
         """The controller ends: proxies go elsewhere."""
         for zone in ZONES:
-            self.checker.parted(zone)
+            self.checker.party_left(zone)
 
 
 class Fleet:
@@ -260,7 +260,7 @@
         """The breaches of the rules."""
         name = self.folder.name
         for breach in self.proxies.checker.verdict():
-            self.verdict.breaches.append(f"{name}: rule {breach.rule}: {breach.whose}: {breach.what}")
+            self.verdict.breaches.append(f"{name}: rule {breach.rule}: {breach.subject}: {breach.detail}")
 
 
 async def play_day(seed: int, folder: Path, life_s: float = LIFE_S) -> Verdict:
