--- a/lapispass/core/agenda.py
+++ b/lapispass/core/agenda.py
@@ -1,7 +1,8 @@
-"""An agenda of due times: which keys must be looked at next, and when.
+"""An agenda of due times: which keys must be evaluated next, and when.
 
-A heap ordered by time. An entry that was replaced stays in the heap and is skipped when it comes up; the heap
-is made anew when most of its entries are such, so its size follows the keys that are due.
+A heap ordered by time. A replaced entry stays in the heap and is skipped when it is reached. The heap is
+rebuilt when most of its entries are outdated, so that its size follows the number of keys that have a due
+time.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from lapispass.core.units import NEVER
 
 Key = TypeVar("Key", bound=Hashable)
-MAX_STALE_ENTRIES = 64  # outdated entries that are always tolerated
+MAX_STALE_ENTRIES = 64  # outdated entries that the heap may always hold
 
 
 class Agenda(Generic[Key]):
@@ -29,7 +30,7 @@
         return len(self._times)
 
     def set(self, key: Key, at: int) -> None:
-        """Replaces the key's due time; `NEVER` takes it off the agenda."""
+        """Sets or replaces the key's due time; `NEVER` removes the key."""
         if at >= NEVER:
             self._times.pop(key, None)
             return
@@ -42,6 +43,7 @@
             heapify(self._heap)
 
     def forget(self, key: Key) -> None:
+        """Removes the key, if it has a due time."""
         self._times.pop(key, None)
 
     def next(self) -> int:
@@ -54,7 +56,7 @@
         return NEVER
 
     def due(self, now: int) -> list[Key]:
-        """Takes off all keys that are due by now, in the order of their times."""
+        """Removes and returns all keys that are due by now, in the order of their times."""
         keys: list[Key] = []
         while self.next() <= now:
             key = heappop(self._heap)[2]
--- a/lapispass/core/decay.py
+++ b/lapispass/core/decay.py
@@ -1,4 +1,4 @@
-"""Sums that decay with time: half of one is left after each half-life. Reading changes nothing."""
+"""Sums that decay exponentially: half of a sum is left after each half-life. Reading changes nothing."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
 @dataclass(slots=True)
 class DecayingSum:
-    """A decaying sum, brought up to date where it is added to."""
+    """A decaying sum; `total` is its value at `updated_at`, the time of the last addition (microseconds)."""
 
     half_life_us: int
     total: float = 0.0
     updated_at: int = 0
 
     def read(self, now: int) -> float:
-        """What is left of the sum at `now` (microseconds)."""
+        """The value of the sum at `now`."""
         return self.total * float(0.5 ** ((now - self.updated_at) / self.half_life_us))
 
     def add(self, now: int, amount: float) -> None:
+        """Adds to the sum as decayed until `now`."""
         self.total, self.updated_at = self.read(now) + amount, now
 
     def per_second(self, now: int) -> float:
-        """The steady rate of additions that would keep the sum as it is."""
+        """The rate of additions a second that would keep the sum constant."""
         return self.read(now) * log(2) * SECOND_US / self.half_life_us
 
 
 class Traffic:
-    """What was met at a server of late: tries, those that were done, and the time spent on these (us)."""
+    """Recent tries at a server: all, those that succeeded, and the total time of these (microseconds)."""
 
     __slots__ = ("succeeded", "time_us", "tries")
 
@@ -39,6 +40,7 @@
         self.time_us = DecayingSum(half_life_us, updated_at=now)
 
     def add(self, now: int, tries: int, lost: int, took_us: int) -> None:
+        """Adds one report; `took_us` is the mean time of the tries that succeeded."""
         self.tries.add(now, tries)
         self.succeeded.add(now, tries - lost)
         self.time_us.add(now, (tries - lost) * took_us)
--- a/lapispass/core/interval_figures.py
+++ b/lapispass/core/interval_figures.py
@@ -1,7 +1,7 @@
 """What was slow since the last report: answers, turns, relay calls, owners of slices, servers.
 
-A controller that keeps its rules logs little. These figures tell afterwards what was late in an interval, and
-what was not. Nothing is decided by them. Times are whole microseconds of the controller's clock.
+A controller that keeps its rules logs little. These figures show afterwards what was late in an interval, and
+what was not. No decision depends on them. Times are whole microseconds of the controller's clock.
 """
 
 from __future__ import annotations
@@ -17,7 +17,10 @@
 
 @dataclass
 class Figures:
-    """One interval. Counts are those of the interval; `without_owner` is how many slices stand so now."""
+    """The figures of one interval; the log has them under the names of these fields.
+
+    Counts cover the interval, unless their comment says that they are the present number.
+    """
 
     answers: int = 0
     late_answers: int = 0
@@ -29,25 +32,25 @@
     left: int = 0
     tries: int = 0  # at servers, as collectors report them
     lost_tries: int = 0
-    slowest_server: BackendId | None = None  # by the mean time that a report gives for its answered tries
+    slowest_server: BackendId | None = None  # by the mean latency of the successful tries in one report
     slowest_server_us: int = 0
     handovers: int = 0  # that ended
-    without_owner: int = 0
+    without_owner: int = 0  # present number of slices whose table names no owner
     longest_without_owner_us: int = 0  # of handovers that ended, and of those that go on
-    without_line: int = 0  # slices that stand so now: without an owner, or with one that is shut out
-    longest_without_line_us: int = 0  # of gaps that ended, and of those that go on
-    given: int = 0  # slices, to this controller
-    taken: int = 0  # slices, from it
-    emptied: int = 0  # slices that stand so now: the first step of a handover
-    closing: int = 0  # slices that stand so now: the last step
-    longest_closing_us: int = 0  # of those
-    unanswered: int = 0  # proxies that have not answered the last message
-    longest_unanswered_us: int = 0  # of those
-    longest_unanswered: int | None = None  # the proxy
-    turns_without_room: int = 0  # slices were left for a later turn
+    without_line: int = 0  # present number of unserved slices: without an owner, or with a withdrawn one
+    longest_without_line_us: int = 0  # of the times that ended, and of those that go on
+    given: int = 0  # slices assigned to this controller
+    taken: int = 0  # slices taken from it
+    emptied: int = 0  # present number of slices in the first step of a handover
+    closing: int = 0  # present number of slices in the last step
+    longest_closing_us: int = 0  # how long the longest of these has been in that step
+    unanswered: int = 0  # present number of proxies that have not acknowledged the last message
+    longest_unanswered_us: int = 0  # age of the oldest unacknowledged message
+    longest_unanswered: int | None = None  # the proxy that has not acknowledged it
+    turns_without_room: int = 0  # turns that left slices for a later one
 
     def shown(self) -> dict[str, object]:
-        """The figures by name, those that are zero left out."""
+        """The figures by name, without those that are zero."""
         return {
             field.name: value
             for field in fields(self)
@@ -56,18 +59,18 @@
 
 
 class IntervalFigures:
-    """Gathers the figures of an interval from what is told and ordered."""
+    """Gathers the figures of an interval from the events and orders of a controller."""
 
     def __init__(self, answer_late_us: int, unserved_overdue_us: int = NEVER) -> None:
-        """An answer is late after `answer_late_us`; a slice's gap is overdue after `unserved_overdue_us`."""
+        """Answers are late after `answer_late_us`, unserved slices overdue after `unserved_overdue_us`."""
         self.answer_late_us = answer_late_us
         self.current = Figures()
         self.unserved = UnservedSlices(unserved_overdue_us)
-        self.turns_without_room = 0  # until the last report
+        self.turns_without_room = 0  # in all, up to the last report
         self.unowned: dict[int, int] = {}  # slice: since when it has had no owner
 
     def count_answer(self, took_us: int) -> bool:
-        """A request was answered so long after it had come; whether that is late."""
+        """Counts a request that was answered `took_us` after it arrived; returns whether that is late."""
         late = took_us > self.answer_late_us
         self.current.answers += 1
         self.current.late_answers += late
@@ -75,15 +78,15 @@
         return late
 
     def turn_took(self, took_us: int) -> None:
-        """The decisions of one turn were made."""
+        """The decisions of one turn took this long."""
         self.current.slowest_turn_us = max(self.current.slowest_turn_us, took_us)
 
     def call_took(self, took_us: int) -> None:
-        """The orders of one turn were settled with the relay."""
+        """The relay took this long to carry out the orders of one turn."""
         self.current.slowest_call_us = max(self.current.slowest_call_us, took_us)
 
     def event(self, now: int, event: interface.Event) -> None:
-        """Something was received."""
+        """Counts an event that was received."""
         current = self.current
         self.unserved.event(now, event)
         match event:
@@ -113,7 +116,7 @@
             current.slowest_server, current.slowest_server_us = report.backend, report.mean_latency_us
 
     def order(self, now: int, order: interface.Order) -> None:
-        """Something was ordered."""
+        """Counts an order of the controller."""
         self.unserved.order(now, order)
         match order:
             case interface.ClearTable(table):
@@ -128,7 +131,7 @@
         self.current.longest_without_owner_us = max(self.current.longest_without_owner_us, for_us)
 
     def take(self, now: int, progress: Progress = Progress()) -> Figures:
-        """The figures of the interval that ends now; the next one begins."""
+        """Returns the figures of the interval that ends now, and begins the next one."""
         taken, self.current = self.current, Figures()
         taken.without_owner = len(self.unowned)
         taken.without_line = len(self.unserved.since)
--- a/lapispass/core/proxies.py
+++ b/lapispass/core/proxies.py
@@ -1,15 +1,17 @@
-"""What a controller knows of the proxies: whose stream stands, and which tables each can still act on.
+"""What a controller knows of the proxies: which are connected, and which tables each may still act on.
 
-A mark is clear at a proxy that cannot write by a table from before it (PROTOCOL and the wire's `lease-us`):
+A proxy has passed a barrier once it can no longer send writes by a table from before that barrier (PROTOCOL
+and the wire's `lease-us`). This holds in four cases:
 
-- it has answered that mark or a later one, on any of its streams that reads the store;
-- or its stream ended a lease ago or longer;
-- or it joined when the step had stood in the store for a while, has read it there, and may no longer write
-  by what it held before: a lease has passed since its earlier stream ended;
-- or it joined so after a restart, and holds nothing else.
+- The proxy has acknowledged this barrier or a later one, on any of its streams that reads the store.
+- Its stream ended at least a lease ago.
+- It joined when the orders before the barrier had been in the store for a while, it has read them there, and
+  a lease has passed since its earlier stream ended, so it may no longer write by its earlier tables.
+- It joined in the same way after a restart, and holds no earlier tables.
 
-Each of these stays true, so a handover waits for every proxy once, however many come and go meanwhile.
-Memory follows the proxies that are there or left a short while ago, not the numbers ever used.
+A barrier that is passed stays passed. A handover therefore waits for each proxy once, however many join and
+leave meanwhile. Memory grows with the proxies that are connected or left recently, not with all numbers ever
+used.
 """
 
 from __future__ import annotations
@@ -21,44 +23,51 @@
 from lapispass import interface
 from lapispass.core.units import NEVER, SECOND_US
 
-STORE_READ_US = SECOND_US  # the wire, "ENROLLED": a proxy that has joined reads the store within a second
+STORE_READ_US = SECOND_US  # by the wire, "ENROLLED": a proxy reads the store within a second of joining
 
 
 @dataclass(slots=True)
 class Proxy:
-    """One proxy. Marks are counts of messages; -1: none. Times in microseconds."""
+    """The state of one proxy.
 
-    acknowledged: int = -1  # on its present stream, or the last one
+    Barriers are numbered by message; -1 stands for none. Times are in microseconds.
+    """
+
+    acknowledged: int = -1  # the last barrier acknowledged on its current stream, or on its last one
     left_at: int = 0  # when its last stream ended
     joined_at: int = 0
-    lines_before: float = 0.0  # lines written to each proxy until it joined
-    acknowledged_before: int = -1  # the last mark answered on earlier streams of this life
-    passed: int = -1  # the last mark that is clear at it
-    stored_barrier: int = -1  # the last mark that stood in the store for a lease when it joined
-    unacknowledged: bool = False  # it has not answered the last message that was written to it
-    unacknowledged_since: int = 0  # when the first of those that it has not answered was written
+    lines_before: float = 0.0  # lines that had been written to each proxy when it joined
+    acknowledged_before: int = -1  # the same, on its earlier streams since it started
+    passed: int = -1  # the last barrier known to be passed
+    stored_barrier: int = -1  # the last barrier whose orders had been in the store for a lease when it joined
+    unacknowledged: bool = False  # it has not acknowledged the last message written to it
+    unacknowledged_since: int = 0  # when the first unacknowledged message was written
 
 
 class Proxies:
-    """Those whose stream stands, and those that left, in the order in which they did."""
+    """The proxies that are connected, and those that left, in the order in which they left."""
 
     def __init__(self, numbers: Iterable[int], now: int, retention_us: int, lease_us: int) -> None:
-        """After a start nobody has joined: each may still act on an older table for one lease."""
+        """`numbers`: proxies that may still act on an older table for one lease, though none has joined yet.
+
+        `retention_us`: proxies that left longer ago are forgotten.
+        """
         self.retention_us, self.lease_us = retention_us, lease_us
         self.joined: dict[int, Proxy] = {}
-        self.unacknowledged = 0  # how many of these have not answered the last message
+        self.unacknowledged = 0  # how many of these have not acknowledged the last message
         self.departed = {number: Proxy(left_at=now) for number in numbers}
-        self._first_acks: deque[tuple[int, int]] = deque()  # of the last lease: when, and to which mark
-        self._acknowledged, self._stored_barrier = (
-            -1,
-            -1,
-        )  # the last mark answered by any; the last one, a lease ago
+        self._first_acks: deque[tuple[int, int]] = deque()  # within the last lease: time, and barrier
+        # The last barrier that any proxy has acknowledged; and the last that any had, a lease ago.
+        self._acknowledged, self._stored_barrier = -1, -1
 
     def __len__(self) -> int:
         return len(self.joined) + len(self.departed)
 
     def join(self, event: interface.ProxyJoined, lines: float, now: int) -> Proxy:
-        """A stream stands; what the proxy holds from an earlier one is over where it is the first."""
+        """A proxy's stream is established.
+
+        A proxy that has had no earlier stream holds no earlier tables. `lines`: written to each proxy so far.
+        """
         number, first = event.proxy, event.first_stream
         if number in self.joined:
             self.leave(number, now)
@@ -73,7 +82,7 @@
         return proxy
 
     def leave(self, number: int, now: int) -> None:
-        """A stream has ended; whoever left longer ago than `retention_us` is forgotten."""
+        """A proxy's stream has ended; forgets the proxies that left longer than `retention_us` ago."""
         proxy = self._remove_joined(number) or self.departed.pop(number, None) or Proxy()
         proxy.passed = self._passed(proxy, now)
         proxy.left_at = now
@@ -84,14 +93,14 @@
             del self.departed[first]
 
     def message_sent(self, now: int) -> None:
-        """A message is written to all whose streams stand."""
+        """A message has been written to all connected proxies."""
         for proxy in self.joined.values():
             if not proxy.unacknowledged:
                 proxy.unacknowledged, proxy.unacknowledged_since = True, now
         self.unacknowledged = len(self.joined)
 
     def acknowledge(self, proxy: Proxy, barrier: int, last: int, now: int) -> None:
-        """A proxy has applied everything up to a mark; `last` is that of the last message."""
+        """A proxy has applied all orders up to a barrier; `last` is the barrier of the last message."""
         proxy.acknowledged = max(proxy.acknowledged, barrier)
         proxy.passed = max(proxy.passed, barrier)
         if barrier > self._acknowledged:
@@ -103,40 +112,40 @@
             self.unacknowledged -= 1
 
     def longest_unacknowledged(self) -> tuple[int | None, int]:
-        """The proxy that has been behind for longest, and since when."""
-        behind = (
+        """The proxy whose oldest unacknowledged message is the oldest of all, and when that was written."""
+        waiting = (
             (proxy.unacknowledged_since, number)
             for number, proxy in self.joined.items()
             if proxy.unacknowledged
         )
-        since, number = min(behind, default=(0, None))
+        since, number = min(waiting, default=(0, None))
         return number, since
 
     def passed_by_all(self, now: int) -> int:
-        """The last mark that is clear at every proxy."""
+        """The last barrier that every proxy has passed."""
         return min((self._passed(proxy, now) for _, proxy in self._may_write(now)), default=NEVER)
 
     def not_passed_by(self, barrier: int, now: int) -> list[int]:
-        """The proxies at which a mark is not clear."""
+        """The proxies that have not passed a barrier."""
         return [number for number, proxy in self._may_write(now) if self._passed(proxy, now) < barrier]
 
     def _may_write(self, now: int) -> Iterator[tuple[int, Proxy]]:
-        """Those that can write at all: joined, or gone for less than a lease."""
+        """The proxies that may send writes: those connected, and those that left less than a lease ago."""
         yield from self.joined.items()
         for number, proxy in self.departed.items():
             if proxy.left_at > now - self.lease_us:
                 yield number, proxy
 
     def _passed(self, proxy: Proxy, now: int) -> int:
-        """The last mark that is clear at a proxy."""
+        """The last barrier that a proxy has passed."""
         has_read_at = max(proxy.left_at + self.lease_us, proxy.joined_at + STORE_READ_US)
         return max(proxy.passed, proxy.stored_barrier) if now >= has_read_at else proxy.passed
 
     def _update_stored(self, now: int) -> int:
-        """The last mark whose first answer came a lease ago.
+        """Updates and returns the last barrier that was first acknowledged at least a lease ago.
 
-        Whoever joins now reads the store after the orders before that mark were carried out: the platform
-        may tell of joins and of answers out of their order, but by less than that.
+        A proxy that joins now reads the store after the orders before that barrier were applied to it. The
+        platform may report joins and acknowledgements out of order, but by less than a lease.
         """
         while self._first_acks and self._first_acks[0][0] <= now - self.lease_us:
             self._stored_barrier = self._first_acks.popleft()[1]
--- a/lapispass/core/unserved_slices.py
+++ b/lapispass/core/unserved_slices.py
@@ -1,8 +1,8 @@
-"""Since when proxies have had no line to pick for a slice, as far as news and orders tell.
+"""Since when slices have been unserved, as far as events and orders show.
 
-A proxy has a line for a slice while the slice's table names an owner that is not shut out. Rule 1 of the
-platform's protocol limits how long it may be without one. Nothing is decided here: the figures are for the
-log. Times are whole microseconds of the controller's clock.
+A slice is served while its table names an owner that is not withdrawn; proxies then have a backend to pick.
+Rule 1 of the platform's protocol limits how long a slice may be unserved. No decision depends on this module:
+its figures are for the log. Times are whole microseconds of the controller's clock.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 
 class UnservedSpan(NamedTuple):
-    """A slice without a line to pick, or one that has a line again."""
+    """A time in which a slice has been unserved; it may have ended."""
 
     slice: int
-    owner: BackendId | None  # the owner that is shut out; None for an empty table
+    owner: BackendId | None  # the withdrawn owner, None for an empty table; once served again, the new owner
     duration_us: int
 
 
 class UnservedSlices:
-    """Follows the slices of one controller. The work follows what changes, not how many slices there are."""
+    """Follows the slices of one controller. The cost grows with the changes, not with the number of slices."""
 
     def __init__(self, overdue_us: int) -> None:
-        """`overdue_us`: a gap that lasts longer is reported."""
+        """`overdue_us`: a slice that is unserved for longer is reported."""
         self.overdue_us = overdue_us
         self.owners: dict[int, BackendId | None] = {}
-        self.since: dict[int, int] = {}  # slices without a line, those without one for longest first
-        self.longest_us = 0  # of the gaps that ended since `take_longest`
+        self.since: dict[int, int] = {}  # unserved slices, the one unserved for longest first
+        self.longest_us = 0  # of the spans that ended since the last `take_longest`
         self._owned: dict[BackendId, set[int]] = {}
         self._withdrawn: set[BackendId] = set()
         self._reported: set[int] = set()
         self._ended: list[UnservedSpan] = []
 
     def event(self, now: int, event: interface.Event) -> None:
-        """Something was received."""
+        """Follows an event that was received."""
         match event:
             case interface.SliceGrant(slice_, ours):
                 self._forget(slice_)
@@ -46,7 +46,7 @@
                 self._assign(now, slice_, owner)
 
     def order(self, now: int, order: interface.Order) -> None:
-        """Something was ordered."""
+        """Follows an order of the controller."""
         match order:
             case interface.ClearTable(slice_) if slice_ in self.owners:
                 self._assign(now, slice_, None)
@@ -58,23 +58,23 @@
                     self._update(now, slice_)
 
     def overdue(self, now: int) -> list[UnservedSpan]:
-        """Gaps that have lasted too long by now; each is told once."""
+        """The slices that have been unserved for too long by now; each span is returned once."""
         found = []
         for slice_, since in self.since.items():
             if now - since <= self.overdue_us:
-                break  # the others are younger
+                break  # the others became unserved later
             if slice_ not in self._reported:
                 self._reported.add(slice_)
                 found.append(UnservedSpan(slice_, self.owners[slice_], now - since))
         return found
 
     def take_ended(self) -> list[UnservedSpan]:
-        """Gaps that were told as overdue and have ended since the last call."""
+        """The spans that `overdue` had returned and that ended since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
     def take_longest(self, now: int) -> int:
-        """The longest gap, of those that ended since the last call and those that go on."""
+        """How long the longest span lasted, of those that ended since the last call and those that go on."""
         longest, self.longest_us = self.longest_us, 0
         oldest = next(iter(self.since.values()), now)
         return max(longest, now - oldest)
@@ -87,7 +87,7 @@
         self._update(now, slice_)
 
     def _update(self, now: int, slice_: int) -> None:
-        """Begins or ends the slice's gap."""
+        """Notes that the slice becomes unserved, or is served again."""
         owner = self.owners[slice_]
         if owner is None or owner in self._withdrawn:
             self.since.setdefault(slice_, now)
@@ -110,7 +110,7 @@
             del self._owned[owner]
 
     def _forget(self, slice_: int) -> None:
-        """The slice is no longer in this controller's charge."""
+        """Drops what is known of a slice that was taken from this controller, or assigned to it anew."""
         self._unlink(slice_)
         self.owners.pop(slice_, None)
         self.since.pop(slice_, None)
--- a/lapispass/core/withdrawn.py
+++ b/lapispass/core/withdrawn.py
@@ -1,4 +1,4 @@
-"""Which servers are shut out of all tables, and what was said of that to whom."""
+"""Which servers are withdrawn from all tables, and which of these states must be sent again."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class WithdrawnServers:
-    """Servers shut out, and those of which it must be said again."""
+    """The withdrawn servers, and the servers whose state must be sent again."""
 
     def __init__(self) -> None:
-        self.withdrawn: dict[interface.BackendId, int] = {}  # servers shut out, since when ...
-        self.to_resend = ResendSet()  # ... and those of which joiners may have heard otherwise
-        self.resending: set[interface.BackendId] = set()  # of these, those that are about to be let in again
-        self.sent_under: dict[
-            interface.BackendId, int
-        ] = {}  # whether it is out was last said under this mark
+        self.withdrawn: dict[interface.BackendId, int] = {}  # withdrawn servers, and since when
+        self.to_resend = ResendSet()  # servers whose state proxies that joined may not hold
+        self.resending: set[interface.BackendId] = set()  # servers whose admission is about to be sent again
+        # The barrier of the message that last sent each server's state.
+        self.sent_under: dict[interface.BackendId, int] = {}
 
     def proxy_joined(self, missed: MissedOrders) -> None:
-        """A joiner may have missed what was said last, and holds what an earlier stream shut out.
+        """A proxy that joined may have missed recent states, and holds withdrawals of its earlier streams.
 
-        One that has answered nothing yet may hold what an earlier life of this controller shut out.
+        A proxy that has acknowledged nothing since this controller's start may hold withdrawals from before
+        that start.
         """
         if missed.first_stream:
             self.to_resend.add(self.withdrawn)
@@ -36,19 +36,19 @@
             )
 
     def start_resend(self, servers: Iterable[Server]) -> None:
-        """These are about to be let in again."""
+        """The admission of these servers is about to be sent again."""
         servers = list(servers)
         self.resending = {server.number for server in servers}
         for server in servers:
             self.to_resend.discard(server)
 
     def postpone(self, number: interface.BackendId) -> None:
-        """A server that was about to be let in leaves; once it is back, joiners have still to be told."""
+        """A server drains before its admission was sent again; that is still due once it is back."""
         self.resending.discard(number)
         self.to_resend.add([number])
 
     def record_sent(self, server: Server, withdrawn: bool, barrier: int, now: int) -> bool:
-        """Notes what is said of a server; whether it is let in that was shut out."""
+        """Records that a server's state is sent; returns whether this ends its withdrawal."""
         number, was_withdrawn = server.number, server.number in self.withdrawn
         if withdrawn:
             self.withdrawn.setdefault(number, now)
@@ -60,9 +60,10 @@
         return was_withdrawn and not withdrawn
 
     def forget(self, number: interface.BackendId, last_index: int) -> None:
-        """A server is no longer known; `last_index` is that of the server that became known last.
+        """A server is no longer known; `last_index` is the index of the server that became known last.
 
-        A proxy that was away when it was let in may still keep it out, should it come back under its id.
+        A proxy that was away when the server was let in may still hold its withdrawal. So its state must be
+        sent again if it comes back under the same id.
         """
         self.to_resend.forget(number)
         self.resending.discard(number)
--- a/lapispass/net/interval_report.py
+++ b/lapispass/net/interval_report.py
@@ -1,4 +1,4 @@
-"""A line of the log every few seconds: what was slow since the last one, and what waits."""
+"""A log line every few seconds: what was slow since the last one, and what is queued."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class IntervalReport:
-    """Writes the figures of each interval, and those of the last one when it is cancelled."""
+    """Logs the figures of each interval, and those of the last, incomplete one when it is cancelled."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self.log, self.collectors, self.progress = log, collectors, progress
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Runs until it is cancelled."""
         try:
             while True:
                 await asyncio.sleep(self.every_us / 1e6)
@@ -37,7 +37,7 @@
             self.write()
 
     def write(self) -> None:
-        """One line; figures that are zero are left out."""
+        """Logs one line, without the figures that are zero."""
         waiting = {
             "connections": len(self.collectors.open),
             "accept_queue": self.collectors.waiting_to_be_accepted(),
--- a/lapispass/net/slice_report.py
+++ b/lapispass/net/slice_report.py
@@ -1,4 +1,4 @@
-"""Lines of the log on slices for which proxies have had no line to pick for too long."""
+"""Log lines on slices that have been unserved for too long: proxies have no backend to pick for them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SliceReport:
-    """Tells each overdue span once, with what its handover waits for, and its end."""
+    """Logs each overdue slice once, with what its handover waits for, and once when it is served again."""
 
     def __init__(
         self, unserved: UnservedSlices, handover: Callable[[int], HandoverState | None], limits: Limits
@@ -21,29 +21,29 @@
         self.interval_start, self.written = 0, 0
 
     def turn_ended(self, now: int) -> None:
-        """A turn's events and orders were noted."""
+        """Logs what a turn has changed, once its events and orders have been counted."""
         for span in self.unserved.overdue(now):
             if self.may_write(now):
                 self.log_overdue(span)
         for span in self.unserved.take_ended():
             if self.may_write(now):
                 self.log.warn(
-                    "slice has a line again", slice=span.slice, owner=span.owner, after_us=span.duration_us
+                    "slice served again", slice=span.slice, owner=span.owner, after_us=span.duration_us
                 )
 
     def may_write(self, now: int) -> bool:
-        """Whether the lines of this interval leave room for another."""
+        """Whether the limit of log lines in this interval allows another; counts it."""
         if now - self.interval_start > self.limits.report_us:
             self.interval_start, self.written = now, 0
         self.written += 1
         return self.written <= self.limits.slice_lines
 
     def log_overdue(self, span: UnservedSpan) -> None:
-        """A slice whose proxies have had no line for too long, and why."""
+        """Logs a slice that has been unserved for too long, and why."""
         fields: dict[str, object] = {"slice": span.slice, "for_us": span.duration_us}
         if span.owner is not None:
             fields["shut_out"] = span.owner
         if (state := self.handover(span.slice)) is not None:
             fields |= {"step": state.step, "step_us": state.for_us, "waiting_for": state.waiting_for}
             fields |= {"proxies": ",".join(map(str, state.proxies))} if state.proxies else {}
-        self.log.warn("slice without a line", **fields)
+        self.log.warn("slice unserved", **fields)
