--- a/lapispass/core/unserved_slices.py
+++ b/lapispass/core/unserved_slices.py
@@ -22,7 +22,7 @@
 
 
 class UnservedSlices:
-    """Follows the slices of one controller. The cost grows with the changes, not with the number of slices."""
+    """Follows the slices of one controller. The cost grows with the changes, not with the slices."""
 
     def __init__(self, overdue_us: int) -> None:
         """`overdue_us`: a slice that is unserved for longer is reported."""
