--- a/lapispass/core/steering.py
+++ b/lapispass/core/steering.py
@@ -1,9 +1,11 @@
-"""A gate's decisions: where a connection goes, who may write, who leaves when. Pure: told the time, all
-else kept here.
+"""A gate's decisions: which node serves a connection, which connections may write, and when they leave.
 
-The life of a connection: `arrive` (a node, or a refusal with when to come back), `stand` once both ends are
-up, `may_write` before each message, `touch` after it, `gone` at its end. Orders come by `apply` and
-`follow`; `tick` says what is to go now.
+The module does no I/O: callers pass the time, and all other state is kept here.
+
+The calls for one connection are `admit` (a node, or a refusal that says when to come back), `established`
+once both ends are connected, `may_write` before each message, `message_written` after it, and `closed` at its
+end. Orders of the controller arrive by `apply_changes` and `apply_plan`; `tick` says which connections to
+release now.
 """
 
 from __future__ import annotations
@@ -12,27 +14,27 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core import leaving, tables
+from lapispass.core import release_policy, tables
 from lapispass.core.admission import Admission, Refused
-from lapispass.core.connections import Book, Held
-from lapispass.core.facts import NEVER, ConnectionClass, NodeId
-from lapispass.core.fence import Fences, Lease
-from lapispass.core.limits import Returns
-from lapispass.core.plans import NONE, Plan, Version
+from lapispass.core.connections import ConnectionIndex, HeldConnection
+from lapispass.core.limits import ReturnSlots
+from lapispass.core.plans import NO_VERSION, Plan, Version
+from lapispass.core.shared_types import NEVER, ConnectionClass, NodeId
+from lapispass.core.write_barriers import WriteBarriers, WriteLease
 
-DRAWS_MOST = 12  # before all nodes are looked at
-STRAYED_MOST = 500  # looked at in one tick
-TRIES_MOST = 2  # nodes that one arrival may be offered; only where no key binds it
+MAX_DRAWS = 12  # random draws before all nodes are considered
+MISPLACED_PER_TICK = 500  # misplaced connections that one tick examines
+MAX_NODE_TRIES = 2  # nodes that a new connection without a key may be offered
 
 
-class Unfit(NamedTuple):
-    """It can't be held as it was asked for, now or later."""
+class Unsupported(NamedTuple):
+    """The connection cannot be held as requested, now or later."""
 
     why: str
 
 
-class Go(NamedTuple):
-    """Open it at this node."""
+class Admitted(NamedTuple):
+    """The connection is admitted and is to be opened at this node."""
 
     node: NodeId
     slice: int | None
@@ -40,15 +42,16 @@
 
 @dataclass
 class Effects:
-    """What a change asks of the front: connections to stop and prove, and marks that can be answered."""
+    """What the gate has to do after table changes."""
 
-    stopped: list[int] = field(default_factory=list)  # may write no more where they are
-    freed: list[int] = field(default_factory=list)  # their slice has an owner again: worth another look
-    answers: list[int] = field(default_factory=list)
+    # Connections that may not write any more, and whose node has to confirm what it has read.
+    stopped: list[int] = field(default_factory=list)
+    to_recheck: list[int] = field(default_factory=list)  # connections whose slice has an owner now
+    acknowledged: list[int] = field(default_factory=list)  # barriers
 
 
 class Steering:
-    """One gate."""
+    """The decisions of one gate about its held connections."""
 
     def __init__(
         self,
@@ -64,57 +67,57 @@
     ) -> None:
         self.classes = tuple(classes)
         self.tables = tables.Tables(slices)
-        self.book, self.fences = Book(), Fences()
-        self.returns = Returns(10.0, *come_back_us, seed)
+        self.connections, self.barriers = ConnectionIndex(), WriteBarriers()
+        self.returns = ReturnSlots(10.0, *come_back_us, seed)
         self.admission = Admission(connections, new_per_s, burst, self.returns)
-        self.lease: Lease | None = Lease(lease_us, early_us) if lease_us else None
-        self.plan = Plan(NONE)
-        self.coming: dict[NodeId, int] = {}  # admitted, not standing yet
-        self.going: dict[NodeId, int] = {}  # told to go, still standing
-        self.strayed: dict[
-            int, None
-        ] = {}  # bound to a slice that someone else owns now, in the order they strayed
-        self.number = 0
-        self.writable = True  # as the lease was last seen
-
-    # arrivals
+        self.lease: WriteLease | None = WriteLease(lease_us, early_us) if lease_us else None
+        self.plan = Plan(NO_VERSION)
+        self.opening: dict[NodeId, int] = {}  # admitted, but not established yet
+        self.releasing: dict[NodeId, int] = {}  # being released, but still held
+        # Connections that are bound to a slice with another owner now, in the order in which that happened.
+        self.misplaced: dict[int, None] = {}
+        self.last_number = 0
+        self.writable = True  # what the lease allowed when it was last checked
+
+    # new connections
 
     def class_of(self, path: str) -> ConnectionClass | None:
         """The first class in the operator's order whose prefix the path has."""
         return next((kind for kind in self.classes if path.startswith(kind.path_prefix)), None)
 
     def held_at(self, node: NodeId) -> int:
-        return self.book.count(node) + self.coming.get(node, 0)
-
-    def arrive(self, now: int, kind: ConnectionClass, key: str | None) -> Go | Refused | Unfit:
-        """Where a new connection goes. A node that is named has one place taken for it until `stand` or
-        `fail`."""
-        if kind.writes and key is None:  # Guards rule 2: whose writes these are could not be told.
-            return Unfit("a class that writes needs a key")
-        self.book.arrived += 1
-        if refused := self.admission.gate_full(now, len(self.book) + sum(self.coming.values())):
+        return self.connections.count(node) + self.opening.get(node, 0)
+
+    def admit(self, now: int, kind: ConnectionClass, key: str | None) -> Admitted | Refused | Unsupported:
+        """Chooses the node of a new connection.
+
+        The node counts the connection from now until `established` or `admission_failed`.
+        """
+        if kind.writes and key is None:  # Rule 2: without a key the owner of the writes is unknown.
+            return Unsupported("a class that writes needs a key")
+        self.connections.arrived += 1
+        if refused := self.admission.gate_full(now, len(self.connections) + sum(self.opening.values())):
             return refused
         if key is not None:
             number = tables.slice_of(key, self.tables.slices)
             owner = self.tables.owner(number)
             if owner is None or owner not in self.tables.nodes:
-                return self.admission.refused(now, "slice has no owner at the moment")
+                return self.admission.refuse(now, "slice has no owner at the moment")
             if self.returns.draw() >= self.tables.share(number):
-                return self.admission.refused(now, "share let in")
-            return self._enter(now, owner, number)
-        return self.place(now, ())
+                return self.admission.refuse(now, "share let in")
+            return self._admit_at(now, owner, number)
+        return self.choose_node(now, ())
 
-    def place(self, now: int, tried: Collection[NodeId]) -> Go | Refused:
-        """A node for a connection that no key binds: of two drawn by the slices they own, the one with more
-        room.
+    def choose_node(self, now: int, tried: Collection[NodeId]) -> Admitted | Refused:
+        """A node for a connection without a key: of two candidates, the one with more room.
 
-        Which nodes serve, and in what proportion, is the table's word; here only what the allotments leave
-        is weighed.
+        Candidates are drawn with a probability in proportion to the slices that they own. So the tables
+        decide which nodes serve, and in what proportion; this choice only weighs the room in their
+        allotments.
         """
-        found: list[NodeId] = []
-        for _ in range(
-            DRAWS_MOST
-        ):  # a slice at random is an owner by its share; the whole table is rarely needed
+        candidates: list[NodeId] = []
+        # The owner of a random slice is drawn by its share of slices; the whole table is rarely needed.
+        for _ in range(MAX_DRAWS):
             owner = self.tables.owner(int(self.returns.draw() * self.tables.slices))
             if (
                 owner is None
@@ -124,12 +127,12 @@
             ):
                 continue
             if not self.admission.wait_us(now, owner, self.held_at(owner)):
-                found.append(owner)
-                if len(found) == 2:
+                candidates.append(owner)
+                if len(candidates) == 2:
                     break
-        if found:
-            return self._enter(
-                now, max(found, key=lambda node: self.admission.room(node, self.held_at(node))), None
+        if candidates:
+            return self._admit_at(
+                now, max(candidates, key=lambda node: self.admission.room(node, self.held_at(node))), None
             )
         serving = {
             node: count
@@ -137,7 +140,7 @@
             if node not in tried and node not in self.plan.ceilings
         }
         if not serving:
-            return self.admission.refused(now, "no node serves")
+            return self.admission.refuse(now, "no node serves")
         free = {
             node: count
             for node, count in serving.items()
@@ -145,161 +148,167 @@
         }
         if not free:
             soonest = min(self.admission.wait_us(now, node, self.held_at(node)) for node in serving)
-            return self.admission.refused(now, "nodes' pace" if soonest < NEVER else "nodes full", soonest)
-        return self._enter(
+            return self.admission.refuse(now, "nodes' pace" if soonest < NEVER else "nodes full", soonest)
+        return self._admit_at(
             now, max(sorted(free), key=lambda node: self.admission.room(node, self.held_at(node))), None
         )
 
-    def _enter(self, now: int, node: NodeId, number: int | None) -> Go | Refused:
+    def _admit_at(self, now: int, node: NodeId, number: int | None) -> Admitted | Refused:
         held = self.held_at(node)
         if not self.admission.take(now, node, held):
             wait = self.admission.wait_us(now, node, held)
-            return self.admission.refused(now, "node full" if wait >= NEVER else "node's pace", wait)
-        self.coming[node] = self.coming.get(node, 0) + 1
-        return Go(node, number)
+            return self.admission.refuse(now, "node full" if wait >= NEVER else "node's pace", wait)
+        self.opening[node] = self.opening.get(node, 0) + 1
+        return Admitted(node, number)
 
-    def fail(self, node: NodeId) -> None:
-        """An admitted one has not come to stand."""
-        self._count(self.coming, node, -1)
+    def admission_failed(self, node: NodeId) -> None:
+        """An admitted connection was not established."""
+        self._add(self.opening, node, -1)
         self.admission.give_back(node)
 
     @staticmethod
-    def _count(counts: dict[NodeId, int], node: NodeId, by: int) -> None:
+    def _add(counts: dict[NodeId, int], node: NodeId, by: int) -> None:
         counts[node] = counts.get(node, 0) + by
         if counts[node] <= 0:
             del counts[node]
 
-    # what stands
+    # held connections
 
-    def stand(self, now: int, kind: ConnectionClass, go: Go, key: str | None) -> Held:
-        """Both ends are up."""
-        self._count(self.coming, go.node, -1)
-        self.number += 1
-        held = Held(self.number, kind, go.slice, go.node, now, now, key or "")
-        self.book.add(held)
+    def established(
+        self, now: int, kind: ConnectionClass, admitted: Admitted, key: str | None
+    ) -> HeldConnection:
+        """Both ends of an admitted connection are connected."""
+        self._add(self.opening, admitted.node, -1)
+        self.last_number += 1
+        held = HeldConnection(self.last_number, kind, admitted.slice, admitted.node, now, now, key or "")
+        self.connections.add(held)
         return held
 
-    def gone(self, held: Held) -> list[int]:
-        """It has ended, and nothing of it is on its way any more; marks that waited for it alone."""
-        if held.leaving:
-            self.stay(held)
-        self.book.remove(held)
-        self.strayed.pop(held.number, None)
-        self.fences.prove(held.number)
-        return self.fences.answers()
-
-    def may_write(self, now: int, held: Held) -> bool:
-        """Whether a message of the screen may begin on its way to the node. Asked right before the write."""
+    def closed(self, held: HeldConnection) -> list[int]:
+        """The connection has ended, and nothing of it is under way. Returns barriers to acknowledge."""
+        if held.releasing:
+            self.cancel_release(held)
+        self.connections.remove(held)
+        self.misplaced.pop(held.number, None)
+        self.barriers.confirm(held.number)
+        return self.barriers.take_completed()
+
+    def may_write(self, now: int, held: HeldConnection) -> bool:
+        """Whether a message of the client may be sent to the node. To be called right before the write."""
         if not held.kind.writes:
             return True
-        if self.lease is not None and not self.lease.holds(now):
+        if self.lease is not None and not self.lease.allows_writes(now):
             return False
         return held.slice is None or self.tables.may_write(held.slice, held.node)
 
-    def wrote(self, now: int, held: Held, octets: int) -> None:
-        held.written, held.last_us = held.written + 1, now
+    def message_written(self, now: int, held: HeldConnection, octets: int) -> None:
+        held.written, held.last_message_us = held.written + 1, now
         held.messages += 1
         held.octets += octets
 
-    def proven(self, held: Held, written: int) -> list[int]:
-        """Its node has read so many pieces, as many as there were when it was stopped; marks that can be
-        answered now.
+    def read_confirmed(self, held: HeldConnection, written: int) -> list[int]:
+        """The node has read as many pieces as had been written when the connection was last stopped.
 
-        What was written since, under a later table that allowed it again, is not proven by this.
+        Pieces written since, under a later table that allowed writes again, are not confirmed by this.
+        Returns barriers to acknowledge.
         """
         held.read = max(held.read, written)
-        self.fences.prove(held.number)
-        return self.fences.answers()
+        self.barriers.confirm(held.number)
+        return self.barriers.take_completed()
 
-    def cut(self, held: Held) -> list[int]:
-        """The way to its node is cut, so that nothing unsent can reach it; marks that can be answered now.
+    def node_disconnected(self, held: HeldConnection) -> list[int]:
+        """The connection to the node is cut, so nothing unsent can reach it. Returns barriers to acknowledge.
 
-        What the node had received by then lives no longer than a visit's write does, and the controller
-        waits for that behind the last answer.
+        What the node had received by then lives no longer than the write of a request, and the controller
+        waits for that time after the last acknowledgement.
         """
-        held.read, held.inside = held.written, False
-        self.fences.prove(held.number)
-        return self.fences.answers()
+        held.read, held.in_message = held.written, False
+        self.barriers.confirm(held.number)
+        return self.barriers.take_completed()
 
-    def misplaced(self, held: Held) -> bool:
-        """Whether its slice is someone else's now, or nobody's."""
+    def is_misplaced(self, held: HeldConnection) -> bool:
+        """Whether the slice of a connection has another owner than its node, or none."""
         return held.slice is not None and self.tables.owner(held.slice) != held.node
 
     # moves
 
-    def leave(self, held: Held) -> None:
-        if not held.leaving:
-            held.leaving = True
-            self._count(self.going, held.node, 1)
+    def begin_release(self, held: HeldConnection) -> None:
+        if not held.releasing:
+            held.releasing = True
+            self._add(self.releasing, held.node, 1)
 
-    def stay(self, held: Held) -> None:
-        """It was told to go and goes on where it is: a move came to nothing."""
-        if held.leaving:
-            held.leaving = False
-            self._count(self.going, held.node, -1)
+    def cancel_release(self, held: HeldConnection) -> None:
+        """A connection is not being released any more, for example because its move failed."""
+        if held.releasing:
+            held.releasing = False
+            self._add(self.releasing, held.node, -1)
 
-    def target(self, now: int, held: Held) -> Go | Refused:
-        """Where one that is to move goes: its slice's owner, or any node with room."""
+    def move_target(self, now: int, held: HeldConnection) -> Admitted | Refused:
+        """The node that a connection moves to: the owner of its slice, or any node with room."""
         if held.slice is None:
-            return self.place(now, (held.node,))
+            return self.choose_node(now, (held.node,))
         owner = self.tables.owner(held.slice)
         if owner is None or owner == held.node or owner not in self.tables.nodes:
-            return self.admission.refused(now, "slice has no other owner yet")
-        return self._enter(now, owner, held.slice)
-
-    def moved(self, now: int, held: Held, go: Go) -> list[int]:
-        """It stands at its new node, and the old one has read all and closed."""
-        self._count(self.coming, go.node, -1)
-        self.stay(held)
-        self.book.move(held, go.node)
+            return self.admission.refuse(now, "slice has no other owner yet")
+        return self._admit_at(now, owner, held.slice)
+
+    def moved(self, now: int, held: HeldConnection, admitted: Admitted) -> list[int]:
+        """A connection is up at its new node, and the old one has read everything and closed."""
+        self._add(self.opening, admitted.node, -1)
+        self.cancel_release(held)
+        self.connections.move(held, admitted.node)
         held.read = held.written
-        self.strayed.pop(held.number, None)
-        self.fences.prove(held.number)
-        return self.fences.answers()
+        self.misplaced.pop(held.number, None)
+        self.barriers.confirm(held.number)
+        return self.barriers.take_completed()
 
     # orders
 
-    def apply(self, changes: Iterable[tables.Change]) -> Effects:
-        """Table changes and marks, in order. A writer that a change concerns stops before any later mark is
-        counted."""
-        effects, freed = Effects(), set()
+    def apply_changes(self, changes: Iterable[tables.TableChange]) -> Effects:
+        """Applies table changes and barriers in order.
+
+        A writing connection that a change affects is stopped before any later barrier is recorded.
+        """
+        effects, to_recheck = Effects(), set()
         for change in changes:
-            if isinstance(change, tables.Asked):
-                self.fences.ask(change.mark)
+            if isinstance(change, tables.BarrierRequest):
+                self.barriers.request(change.barrier)
                 continue
             for number in self.tables.apply(change):
                 owner = self.tables.owner(number)
-                for held in self.book.of_slice(number):
-                    barred = held.kind.writes and not self.tables.may_write(number, held.node)
-                    if barred and (held.unproven or held.inside):
-                        self.fences.stop(held.number)
+                for held in self.connections.of_slice(number):
+                    stopped = held.kind.writes and not self.tables.may_write(number, held.node)
+                    if stopped and (held.unconfirmed or held.in_message):
+                        self.barriers.await_confirmation(held.number)
                         effects.stopped.append(held.number)
                     if owner is not None:
-                        freed.add(held.number)
+                        to_recheck.add(held.number)
                     if owner != held.node:
-                        self.strayed[held.number] = None
-        effects.freed = sorted(freed)
-        effects.answers = self.fences.answers()
+                        self.misplaced[held.number] = None
+        effects.to_recheck = sorted(to_recheck)
+        effects.acknowledged = self.barriers.take_completed()
         return effects
 
-    def expired(self, now: int) -> list[int]:
-        """Writers to stop because the controller has not been heard for too long; each lapse is told once."""
+    def expire_lease(self, now: int) -> list[int]:
+        """Connections whose writes stop because the lease has expired; each expiry is reported once."""
         if self.lease is None:
             return []
-        held_before, self.writable = self.writable, self.lease.holds(now)
-        if self.writable or not held_before:
+        was_writable, self.writable = self.writable, self.lease.allows_writes(now)
+        if self.writable or not was_writable:
             return []
-        stopped = [held for held in self.book if held.kind.writes and (held.unproven or held.inside)]
+        stopped = [
+            held for held in self.connections if held.kind.writes and (held.unconfirmed or held.in_message)
+        ]
         for held in stopped:
-            self.fences.stop(held.number)
+            self.barriers.await_confirmation(held.number)
         return [held.number for held in stopped]
 
-    def lease_ends(self) -> int:
-        """When the controller counts on nothing being written here any more."""
-        return self.lease.until if self.lease is not None else NEVER
+    def lease_end(self) -> int:
+        """When the controller assumes that this gate writes nothing any more."""
+        return self.lease.expires_at if self.lease is not None else NEVER
 
-    def follow(self, now: int, plan: Plan) -> bool:
-        """Takes a plan if it is newer than the one in force."""
+    def apply_plan(self, now: int, plan: Plan) -> bool:
+        """Adopts a plan if it is newer than the one in force, and returns whether it is."""
         if plan.version <= self.plan.version:
             return False
         self.plan = plan
@@ -307,54 +316,57 @@
         self.returns.set(plan.returns_per_s, plan.come_back_least_us, plan.come_back_most_us)
         return True
 
-    def tick(self, now: int, tick_us: int) -> list[leaving.Release]:
-        """Who goes now: at nodes that leave as many as their ceiling asks; a bound one whose slice has
-        moved on."""
-        releases: list[leaving.Release] = []
+    def tick(self, now: int, tick_us: int) -> list[release_policy.Release]:
+        """The connections to release now.
+
+        These are as many at each draining node as its ceiling demands, and bound connections whose slice has
+        another owner.
+        """
+        releases: list[release_policy.Release] = []
         for node, ceiling in self.plan.ceilings.items():
-            standing = self.book.count(node)
-            count = leaving.due(ceiling, now, tick_us, standing, self.going.get(node, 0))
+            held = self.connections.count(node)
+            count = release_policy.count_due(ceiling, now, tick_us, held, self.releasing.get(node, 0))
             if count:
                 last = now + 2 * tick_us >= ceiling.deadline_us
-                releases += leaving.choose(self.book.at(node), count, now, last)
-        return releases + self.follow_slices(now)
+                releases += release_policy.choose(self.connections.at_node(node), count, now, last)
+        return releases + self.release_misplaced(now)
 
-    def follow_slices(self, now: int) -> list[leaving.Release]:
-        """Bound connections whose slice has a new owner go after it, as fast as that one takes them.
+    def release_misplaced(self, now: int) -> list[release_policy.Release]:
+        """Moves bound connections to the new owner of their slice, as fast as that node takes them.
 
-        Where their node leaves anyway its ceiling says when; but one whose screen wants to write does not
-        wait for that, since it is cut off already. Looks at so many a tick that a large handover cannot
-        hold up the gate.
+        If their node is draining, its ceiling decides when they go. A connection whose client waits to
+        write does not wait for that, because it is blocked already. The number examined per tick is limited,
+        so that a large handover cannot stall the gate.
         """
-        releases: list[leaving.Release] = []
-        wanted: dict[NodeId, int] = {}
-        for number in list(self.strayed)[:STRAYED_MOST]:
-            held = self.book.by_number.get(number)
-            if held is None or held.slice is None or not self.misplaced(held):
-                del self.strayed[number]
+        releases: list[release_policy.Release] = []
+        demand: dict[NodeId, int] = {}
+        for number in list(self.misplaced)[:MISPLACED_PER_TICK]:
+            held = self.connections.by_number.get(number)
+            if held is None or held.slice is None or not self.is_misplaced(held):
+                del self.misplaced[number]
                 continue
             owner = self.tables.owner(held.slice)
             if (
                 owner is None
-                or held.leaving
-                or held.inside
-                or (held.node in self.plan.ceilings and not held.waiting)
+                or held.releasing
+                or held.in_message
+                or (held.node in self.plan.ceilings and not held.write_blocked)
             ):
                 continue
-            movable = held.kind.movable and held.moves_failed <= 1
-            wanted[owner] = wanted.get(owner, 0) + 1
-            if self.admission.wait_us(now, owner, self.held_at(owner) + wanted[owner] - 1):
+            movable = held.kind.movable and held.failed_moves <= 1
+            demand[owner] = demand.get(owner, 0) + 1
+            if self.admission.wait_us(now, owner, self.held_at(owner) + demand[owner] - 1):
                 continue
-            if not movable:  # its screen comes back soon: counted where it will come
+            if not movable:  # its client comes back soon: counted at the node where it will connect
                 self.admission.take(now, owner, self.held_at(owner))
-            releases.append(leaving.Release(number, "move" if movable else "close"))
-        for number in [release.number for release in releases]:  # the others have their turn first next time
-            self.strayed[number] = self.strayed.pop(number)
+            releases.append(release_policy.Release(number, "move" if movable else "close"))
+        for number in [release.number for release in releases]:  # the others are examined first next time
+            self.misplaced[number] = self.misplaced.pop(number)
         return releases
 
     def plan_version(self) -> Version:
         return self.plan.version
 
     def drains(self, now: int) -> dict[NodeId, int]:
-        """What is left of each drain's time: a controller that starts anew goes on with it."""
+        """The time left of each drain. A controller that has restarted continues the drains from it."""
         return {node: max(0, ceiling.deadline_us - now) for node, ceiling in self.plan.ceilings.items()}
--- a/lapispass/gate/handshake.py
+++ b/lapispass/gate/handshake.py
@@ -1,4 +1,5 @@
-"""The opening of a held connection: its upgrade is read, a node takes it, or it is refused."""
+"""The opening of a held connection: the gate reads the client's upgrade request and finds a node that accepts
+it, or refuses it."""
 
 from __future__ import annotations
 
@@ -10,73 +11,74 @@
 import h11
 
 from lapispass.core.admission import Refused
-from lapispass.core.facts import ConnectionClass
-from lapispass.core.steering import TRIES_MOST, Go, Unfit
+from lapispass.core.shared_types import ConnectionClass
+from lapispass.core.steering import MAX_NODE_TRIES, Admitted, Unsupported
 from lapispass.gate import upgrade
 from lapispass.gate.evented_reader import EventedReader
 from lapispass.gate.frames import Side
 from lapispass.gate.host import GateHost
-from lapispass.gate.node_connection import NodeOpener, NoNode
-from lapispass.gate.upgrade import BadUpgrade, Opening
+from lapispass.gate.node_connection import NodeOpener, UpgradeFailed
+from lapispass.gate.upgrade import BadUpgrade, UpgradeRequest
 from lapispass.net.streams import flush, has_input, read_arrived
 
-READS_AFTER_REFUSAL = 64  # of what still comes, thrown away
+MAX_READS_AFTER_REFUSAL = 64  # of further input, which is discarded
 
 
 class Refusal(Exception):
-    """The upgrade is answered with a status instead of a tunnel."""
+    """The upgrade is refused with an HTTP status."""
 
     def __init__(self, status: int, why: str, retry_after_us: int = 0) -> None:
         super().__init__(why)
         self.status, self.retry_after_us = status, retry_after_us
 
 
-class NothingAsked(Exception):
-    """The connection ends before its first byte: nobody waits for an answer on it."""
+class NoRequest(Exception):
+    """The connection ended before its first byte, so nobody waits for an answer on it."""
 
 
 class HandshakeHost(GateHost, Protocol):
-    """What a handshake needs of its gate."""
+    """What a handshake needs from its gate."""
 
     key_parameter: str
 
-    def answered(self) -> None:
-        """The task's upgrade has its final answer."""
+    def upgrade_finished(self) -> None:
+        """The upgrade that the current task serves has its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """An upgrade that a node has taken, and that its client has been told of."""
+    """An upgrade that a node has accepted and that has been confirmed to the client."""
 
     kind: ConnectionClass
     key: str | None
-    go: Go
+    go: Admitted
     node: Side
     protocol: str | None
     opener: NodeOpener
-    early: bytes  # what came behind the head
+    early: bytes  # bytes received after the head
 
 
 class Handshake:
-    """The upgrade of one client."""
+    """The upgrade handshake with one client."""
 
     def __init__(self, gate: HandshakeHost, reader: EventedReader, writer: asyncio.StreamWriter) -> None:
         self.gate, self.limits, self.clock = gate, gate.limits, gate.clock
         self.reader, self.writer = reader, writer
         self.state = h11.Connection(h11.SERVER, max_incomplete_event_size=self.limits.head_bytes)
-        self.has_asked = False  # whether a byte has come
+        self.has_input_begun = False  # whether a byte has been received
         name = writer.get_extra_info("peername")
         self.peer = str(name[0]) if name else "unknown"
 
     async def run(self) -> Accepted | None:
-        """From the first byte to the answer; None where the connection has ended with it, or before."""
+        """Runs the handshake from the first byte to the answer. None if the upgrade was refused or the
+        connection ended before."""
         gate = self.gate
         try:
-            opening = await self.read_head()
-            kind, key = self.asked(opening)
-            opener = NodeOpener(gate, opening, self.peer, self.reader.wake)
-            go, node, protocol = await self.enter(kind, key, opener)
-        except NothingAsked:
+            upgrade_request = await self.read_head()
+            kind, key = self.classify(upgrade_request)
+            opener = NodeOpener(gate, upgrade_request, self.peer, self.reader.wake)
+            go, node, protocol = await self.open_node(kind, key, opener)
+        except NoRequest:
             gate.counters["screens.never_asked"] += 1
             self.writer.transport.abort()
             return None
@@ -85,37 +87,39 @@
             return None
         except (OSError, EOFError, h11.RemoteProtocolError) as error:
             gate.counters["screens.unfit"] += 1
-            gate.log.rate_limited("no upgrade", peer=self.peer, why=error)
+            gate.log.rate_limited("invalid upgrade request", peer=self.peer, why=error)
             await self.refuse(BadUpgrade(400, "unreadable"))
             return None
-        except asyncio.CancelledError:  # the gate ends; who has asked is answered first
-            if self.has_asked or has_input(self.reader, self.writer):
-                await self.refuse(Refusal(503, "the gate ends", return_us(gate)))
+        except asyncio.CancelledError:  # the gate stops; a client that has sent a request is answered first
+            if self.has_input_begun or has_input(self.reader, self.writer):
+                await self.refuse(Refusal(503, "the gate ends", return_delay_us(gate)))
             raise
-        if self.reader.over or self.writer.transport.is_closing():  # gone while its node was opened
-            gate.steering.fail(go.node)
-            node.end(0.0)
+        # The client may have left while the connection to its node was being opened.
+        if self.reader.ended or self.writer.transport.is_closing():
+            gate.steering.admission_failed(go.node)
+            node.close_after_flush(0.0)
             gate.counters["screens.gone_early"] += 1
             return None
-        self.writer.write(upgrade.answer(self.state, opening, protocol))
+        self.writer.write(upgrade.accept_response(self.state, upgrade_request, protocol))
         return Accepted(kind, key, go, node, protocol, opener, self.state.trailing_data[0])
 
-    async def read_head(self) -> Opening:
-        """The whole head of an upgrade, in time."""
+    async def read_head(self) -> UpgradeRequest:
+        """Reads the whole head of the upgrade request within the time limit."""
         until = asyncio.get_running_loop().time() + self.limits.handshake_us / 1e6
         while True:
             event = self.state.next_event()
             if event is h11.NEED_DATA:
-                self.state.receive_data(await self.piece_of_head(until))
+                self.state.receive_data(await self.read_head_piece(until))
             elif isinstance(event, h11.Request):
-                opening = upgrade.read_opening(event)
+                upgrade_request = upgrade.parse_upgrade(event)
             elif isinstance(event, h11.EndOfMessage):
-                return opening
+                return upgrade_request
             else:
                 raise BadUpgrade(400, "an upgrade has no body")
 
-    async def piece_of_head(self, until: float) -> bytes:
-        """The next bytes by this time of the loop's clock, and those that have come although it is over."""
+    async def read_head_piece(self, until: float) -> bytes:
+        """The next bytes, until this time of the loop's clock. Bytes that arrived while the process was
+        stalled are read even if the time is over."""
         limits = self.limits
         piece: bytes | None
         try:
@@ -124,37 +128,42 @@
         except TimeoutError:
             piece = await read_arrived(self.reader, self.writer, limits.read_bytes, limits.late_us)
         if piece is None:
-            raise self.head_is_late()
+            raise self.head_timeout_error()
         if not piece:
-            raise EOFError("ended before its head was whole") if self.has_asked else NothingAsked
-        self.has_asked = True
+            raise EOFError("connection closed within the request head") if self.has_input_begun else NoRequest
+        self.has_input_begun = True
         return piece
 
-    def head_is_late(self) -> Exception:
-        """Only who has begun to ask is told so."""
-        if not self.has_asked:
-            return NothingAsked()
+    def head_timeout_error(self) -> Exception:
+        """The error for a late head. Only a client that has begun to send a request is answered."""
+        if not self.has_input_begun:
+            return NoRequest()
         return BadUpgrade(408, "the head of the upgrade did not come in time")
 
-    def asked(self, opening: Opening) -> tuple[ConnectionClass, str | None]:
-        """Its class and its key."""
-        kind = self.gate.steering.class_of(opening.path)
+    def classify(self, upgrade_request: UpgradeRequest) -> tuple[ConnectionClass, str | None]:
+        """The class and the key of the connection that is requested."""
+        kind = self.gate.steering.class_of(upgrade_request.path)
         if kind is None:
             raise Refusal(404, "no class has this path")
         name = self.gate.key_parameter
-        keys = [value for key, value in parse_qsl(opening.target.partition("?")[2]) if name and key == name]
+        keys = [
+            value
+            for key, value in parse_qsl(upgrade_request.target.partition("?")[2])
+            if name and key == name
+        ]
         if len(keys) > 1 or (keys and len(keys[0]) > self.limits.key_bytes):
             raise Refusal(400, f"{name} stands twice, or is too long")
         return kind, keys[0] if keys and keys[0] else None
 
-    async def enter(
+    async def open_node(
         self, kind: ConnectionClass, key: str | None, opener: NodeOpener
-    ) -> tuple[Go, Side, str | None]:
-        """A node that has taken the upgrade, or a `Refusal` with when to come back."""
+    ) -> tuple[Admitted, Side, str | None]:
+        """Opens a connection to a node that accepts the upgrade. Raises a `Refusal` with a time to wait if
+        none does."""
         steering, tried = self.gate.steering, []
-        choice = steering.arrive(self.clock.now(), kind, key)
+        choice = steering.admit(self.clock.now(), kind, key)
         while True:
-            if isinstance(choice, Unfit):
+            if isinstance(choice, Unsupported):
                 raise Refusal(400, choice.why)
             if isinstance(choice, Refused):
                 raise Refusal(503, choice.why, choice.retry_after_us)
@@ -162,59 +171,61 @@
             try:
                 side, protocol = await opener.open(choice)
                 return choice, side, protocol
-            except NoNode as error:
-                steering.fail(choice.node)
+            except UpgradeFailed as error:
+                steering.admission_failed(choice.node)
                 self.gate.counters["nodes.refused"] += 1
-                self.gate.log.rate_limited("node took no upgrade", node=choice.node, why=error)
+                self.gate.log.rate_limited("node refused upgrade", node=choice.node, why=error)
                 now = self.clock.now()
                 if error.final:
                     raise Refusal(error.status, str(error)) from None
-                if key is not None or len(tried) >= TRIES_MOST:
-                    wait = steering.admission.refused(now, "node took no upgrade", error.retry_after_us)
+                if key is not None or len(tried) >= MAX_NODE_TRIES:
+                    wait = steering.admission.refuse(now, "node took no upgrade", error.retry_after_us)
                     raise Refusal(503, wait.why, wait.retry_after_us) from None
-                choice = steering.place(now, tried)  # nothing was held or written: another node may be asked
+                # Nothing is held or written yet, so another node may be tried.
+                choice = steering.choose_node(now, tried)
             except BaseException:
-                steering.fail(choice.node)
+                steering.admission_failed(choice.node)
                 raise
 
     async def refuse(self, error: Refusal | BadUpgrade) -> None:
-        """Answered at once, with when to come back where that is of use."""
-        self.gate.answered()
+        """Sends the refusal at once, with the time to wait before a retry where that helps."""
+        self.gate.upgrade_finished()
         self.gate.counters[f"screens.refused_{error.status}"] += 1
         headers = error.headers if isinstance(error, BadUpgrade) else ()
         wait = error.retry_after_us if isinstance(error, Refusal) else 0
         try:
-            self.writer.write(upgrade.refuse(self.state, error.status, str(error), headers, wait))
+            self.writer.write(upgrade.refusal_response(self.state, error.status, str(error), headers, wait))
             self.writer.write_eof()
-            # Guards the answer: closed with bytes unread, the kernel would reset the connection, and what
-            # is on its way be lost (RFC 9112 9.6). What still comes is thrown away, for a while.
+            # If the connection were closed with unread input, the kernel would reset it and the answer
+            # could be lost on its way (RFC 9112 9.6). So further input is read and discarded for a while.
             async with asyncio.timeout(self.limits.close_us / 1e6):
-                for _ in range(READS_AFTER_REFUSAL):
+                for _ in range(MAX_READS_AFTER_REFUSAL):
                     if not await self.reader.read(self.limits.read_bytes):
                         break
         except (h11.LocalProtocolError, OSError):
-            pass  # what came was no HTTP, or it is gone: nothing can be answered to it
+            pass  # the input was not HTTP, or the client is gone: no answer is possible
         await flush(self.writer, self.limits.flush_us)
         self.writer.transport.abort()
 
     async def refuse_unread(self, why: str) -> None:
-        """Refuses it before it is read; who asks nothing within a moment is closed without a word."""
-        if not await self.asks_soon():
+        """Refuses the request before it is read. A client that sends nothing within `Limits.flush_us` is
+        disconnected without an answer."""
+        if not await self.has_input_soon():
             self.gate.counters["screens.never_asked"] += 1
             self.writer.transport.abort()
             return
-        await self.refuse(Refusal(503, why, return_us(self.gate)))
+        await self.refuse(Refusal(503, why, return_delay_us(self.gate)))
 
-    async def asks_soon(self) -> bool:
-        """Whether something comes within `Limits.flush_us`; it stays unread."""
+    async def has_input_soon(self) -> bool:
+        """Whether input arrives within `Limits.flush_us`. The input is not read."""
         until = self.clock.now() + self.limits.flush_us
         while not has_input(self.reader, self.writer):
-            if self.reader.over or self.clock.now() >= until:
+            if self.reader.ended or self.clock.now() >= until:
                 return False
             await asyncio.sleep(self.limits.tick_us / 1e6 / 10)
         return True
 
 
-def return_us(gate: GateHost) -> int:
-    """When a client may come back, counted from now: others are given other times."""
+def return_delay_us(gate: GateHost) -> int:
+    """The time from now after which a client may come back. Each client is given a different time."""
     return gate.steering.returns.delay_us(gate.clock.now())
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -1,4 +1,4 @@
-"""A gate: takes connections, holds them, and lets them go as its steering says."""
+"""The gate's process: accepts connections, holds them, and moves or closes them as its steering decides."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from pathlib import Path
 
 from lapispass.core import tables
-from lapispass.core.facts import DrainTerms
 from lapispass.core.plans import Plan
+from lapispass.core.shared_types import DrainTerms
 from lapispass.core.steering import Steering
 from lapispass.gate.evented_reader import EventedProtocol, EventedReader
 from lapispass.gate.handshake import Handshake
 from lapispass.gate.limits import Limits
-from lapispass.gate.lone import Lone
+from lapispass.gate.standalone import Standalone
 from lapispass.gate.tunnel import Tunnel
 from lapispass.gate.uplink import Uplink
 from lapispass.net import call_failures, log, process
@@ -27,12 +27,12 @@
 
 
 class Gate:
-    """One gate. Embed it with `await Gate(source, seed).run()`; `stop()` ends that in order."""
+    """One gate. To embed it, `await Gate(source, seed).run()`; `stop()` ends that in an orderly way."""
 
     def __init__(self, source: Source, seed: int, limits: Limits | None = None) -> None:
         settings = source.told
         if not settings.HasField("gate"):
-            raise BadFile([source.at("gate", "missing: the file describes no gate")])
+            raise BadFile([source.at("gate", "missing: the file has no settings for a gate")])
         self.source, self.settings = source, settings.gate
         self.limits = limits or Limits.from_settings(settings.gate)
         self.clock, self.counters = Clock(), Counters()
@@ -54,105 +54,110 @@
         )
         self.tunnels: dict[int, Tunnel] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.upgrading: set[asyncio.Task[None]] = set()  # of these, until their tunnel stands
+        self.upgrading: set[asyncio.Task[None]] = set()  # those of them whose upgrade has no final answer yet
         self.server: Acceptor | None = None
         self.ended = asyncio.Event()
         self.address = ""
         secret = operator.secret(settings.gate.secret_file, source, "gate.secret_file")
         self.uplink = Uplink(self, settings.gate.controller, secret) if settings.gate.controller else None
-        self.lone = None if settings.gate.controller else Lone(self, source)
+        self.standalone = None if settings.gate.controller else Standalone(self, source)
 
-    # what tunnels call
+    # called by handshakes and tunnels
 
-    def answered(self) -> None:
+    def upgrade_finished(self) -> None:
         if (task := asyncio.current_task()) is not None:
             self.upgrading.discard(task)
 
     def opened(self, tunnel: Tunnel) -> None:
-        self.answered()
+        self.upgrade_finished()
         self.tunnels[tunnel.held.number] = tunnel
         self.counters["screens.standing"] += 1
 
-    def closed(self, tunnel: Tunnel, answers: list[int]) -> None:
+    def closed(self, tunnel: Tunnel, marks: list[int]) -> None:
         self.tunnels.pop(tunnel.held.number, None)
-        self.tell(answers)
+        self.acknowledge(marks)
 
-    def tell(self, answers: list[int]) -> None:
-        """Marks that can be answered."""
-        if answers and self.uplink is not None:
-            self.uplink.answer(answers)
+    def acknowledge(self, marks: list[int]) -> None:
+        """Acknowledges the barriers with these marks."""
+        if marks and self.uplink is not None:
+            self.uplink.acknowledge(marks)
 
     # orders
 
-    def carry_out(self, changes: Iterable[tables.Change]) -> None:
-        """Table changes and marks, at once: from here on nothing begins by the older table."""
+    def apply_changes(self, changes: Iterable[tables.TableChange]) -> None:
+        """Applies table changes and barriers at once. From here on no message begins under the older
+        tables."""
         now = self.clock.now()
-        effects = self.steering.apply(changes)
+        effects = self.steering.apply_changes(changes)
         for number in effects.stopped:
             if tunnel := self.tunnels.get(number):
-                tunnel.stop_and_prove(now)
-        for number in effects.freed:
+                tunnel.start_fence(now)
+        for number in effects.to_recheck:
             if tunnel := self.tunnels.get(number):
                 tunnel.wake.set()
-        self.tell(effects.answers)
+        self.acknowledge(effects.acknowledged)
 
-    def follow(self, plan: Plan) -> bool:
-        """A plan of the controller; False where a newer one is in force. Nodes called gone must show a sign
-        of life."""
+    def follow_plan(self, plan: Plan) -> bool:
+        """Follows a plan of the controller; False if a newer one is in force. Nodes that the plan lists as
+        dead must answer a ping."""
         now, known = self.clock.now(), self.steering.plan.dead
-        if not self.steering.follow(now, plan):
+        if not self.steering.apply_plan(now, plan):
             return False
         for node in plan.dead - known:
-            for held in list(self.steering.book.at(node)):
+            for held in list(self.steering.connections.at_node(node)):
                 if tunnel := self.tunnels.get(held.number):
-                    tunnel.stop_and_prove(now)
+                    tunnel.start_fence(now)
         return True
 
-    # its life
+    # run and stop
 
     async def run(self) -> None:
-        """Serves until `stop()`, then closes what it holds in order."""
+        """Serves until `stop()`, then closes all connections in order."""
         loop = asyncio.get_running_loop()
         listener = await listener_in_time(self.settings.listen, self.limits.backlog)
         self.server = Acceptor(
             listener,
-            self.take,
+            self.make_protocol,
             name="screens",
             at_once=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
         self.address = await bound_address(listener)
-        lives = [
-            loop.create_task(life)
-            for life in (self.ticks(), self.ended.wait(), *([self.uplink.run()] if self.uplink else []))
+        background_tasks = [
+            loop.create_task(work)
+            for work in (
+                self.ticks(),
+                self.ended.wait(),
+                *([self.uplink.run()] if self.uplink else []),
+            )
         ]
         self.log.say("listening", name=self.settings.name, address=self.address, zone=self.settings.zone)
         try:
-            done, _ = await asyncio.wait(lives, return_when=asyncio.FIRST_COMPLETED)
-            for life in done:
-                life.result()
+            done, _ = await asyncio.wait(background_tasks, return_when=asyncio.FIRST_COMPLETED)
+            for background_task in done:
+                background_task.result()
         finally:
-            for life in lives:
-                life.cancel()
-            self.server.close(self.limits.shaking)
+            for background_task in background_tasks:
+                background_task.cancel()
+            self.server.close(self.limits.handshakes_at_once)
             await asyncio.gather(*self.server.tasks, return_exceptions=True)
-            await self.leave()
-            await asyncio.gather(*lives, return_exceptions=True)
+            await self.close_all()
+            await asyncio.gather(*background_tasks, return_exceptions=True)
             self.print_counters()
 
     def stop(self) -> None:
         self.ended.set()
 
-    async def leave(self) -> None:
-        """Its own end: each client gets a close frame with when to come back, and so does its node. Upgrades
-        under way are refused."""
+    async def close_all(self) -> None:
+        """Ends all connections when the gate stops. Each client gets a close frame with a time to come back,
+        and each node gets a close frame. Upgrades under way are refused."""
         now = self.clock.now()
         for task in self.upgrading:
             task.cancel()
         for tunnel in list(self.tunnels.values()):
-            tunnel.how = "gate ended"
-            tunnel.close_for_later(1001, now)
+            tunnel.end_reason = "gate ended"
+            tunnel.close_with_retry_delay(1001, now)
             tunnel.wake.set()
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=self.limits.stop_us / 1e6)
@@ -161,34 +166,35 @@
         if self.tasks:
             await asyncio.wait(self.tasks, timeout=1)
 
-    def take(self) -> asyncio.Protocol:
-        """A connection that has come, before its first byte."""
+    def make_protocol(self) -> asyncio.Protocol:
+        """The protocol for a new connection, before its first byte."""
         return EventedProtocol(EventedReader(self.limits.read_bytes, asyncio.Event()), self.serve)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The task of one connection."""
+        """Serves one connection; runs as a task of its own."""
         task = asyncio.current_task()
         assert task is not None and isinstance(reader, EventedReader)
         self.counters["screens.came"] += 1
         self.tasks.add(task)
         handshake = Handshake(self, reader, writer)
         try:
-            if self.ended.is_set():  # accepted in the instant of the end
+            if self.ended.is_set():  # accepted just as the gate stops
                 await handshake.refuse_unread("the gate ends")
                 return
-            if len(self.upgrading) >= self.limits.shaking:  # Guards against never-ending handshakes.
+            # A bound on upgrades under way, since a client may never finish its handshake.
+            if len(self.upgrading) >= self.limits.handshakes_at_once:
                 self.counters["screens.crowded_out"] += 1
-                if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.shaking:
+                if len(self.tasks) - len(self.tunnels) <= 2 * self.limits.handshakes_at_once:
                     await handshake.refuse_unread("too many upgrades at once")
-                else:  # Guards descriptors: so many are being refused already.
+                else:  # bounds descriptors: this many are being refused already
                     writer.transport.abort()
                 return
             self.upgrading.add(task)
             if accepted := await handshake.run():
                 await Tunnel(self, reader, writer, accepted).run()
         except asyncio.CancelledError:
-            writer.transport.abort()  # in order: the gate ends, and whoever has asked is answered
-        except Exception:  # a fault of our own costs this connection, not the gate
+            writer.transport.abort()  # the gate stops, and a client that sent a request has been answered
+        except Exception:  # an internal error ends this connection, not the gate
             self.counters["screens.faults"] += 1
             self.log.failed("connection failed")
             writer.transport.abort()
@@ -197,28 +203,31 @@
             self.tasks.discard(task)
 
     async def ticks(self) -> None:
-        """Lets go whoever is due, and looks after the lease."""
+        """Moves or closes connections that are due, and checks the lease."""
         tick_us = self.limits.tick_us
         while True:
             await asyncio.sleep(tick_us / 1e6)
             log.write_on()
             now = self.clock.now()
             was = self.steering.writable
-            for number in self.steering.expired(now):
-                if tunnel := self.tunnels.get(number):  # proven or cut before the lease ends
-                    tunnel.stop_and_prove(now, max(now + 1, self.steering.lease_ends()))
+            for number in self.steering.expire_lease(now):
+                # The node must have read everything, or be cut off, before the lease ends.
+                if tunnel := self.tunnels.get(number):
+                    tunnel.start_fence(now, max(now + 1, self.steering.lease_end()))
             if was != self.steering.writable:
                 self.log.warn(
-                    "writes go on" if self.steering.writable else "no word of the controller: writes stop"
+                    "lease renewed: writes resume"
+                    if self.steering.writable
+                    else "no answer from the controller within the lease: writes stop"
                 )
                 for tunnel in self.tunnels.values():
-                    if tunnel.held.waiting:
+                    if tunnel.held.write_blocked:
                         tunnel.wake.set()
-            if self.lone is not None:
-                self.lone.tick(now)
+            if self.standalone is not None:
+                self.standalone.tick(now)
             for release in self.steering.tick(now, tick_us):
                 if tunnel := self.tunnels.get(release.number):
-                    self.steering.leave(tunnel.held)
+                    self.steering.begin_release(tunnel.held)
                     tunnel.release = release.how
                     tunnel.wake.set()
 
@@ -226,13 +235,14 @@
         counted = {**self.counters.fields(), **call_failures.counted(), "log.lost": log.lost()}
         self.log.say("counters", held=len(self.tunnels), **counted)
 
-    def read_again(self) -> bool:
-        """SIGHUP: a gate that stands alone takes its nodes and lines anew; a bad file changes nothing."""
+    def reload(self) -> bool:
+        """On SIGHUP, a standalone gate reads its nodes and table entries again. An invalid file changes
+        nothing."""
         self.counters["gate.reloads"] += 1
         try:
             source = operator.read(self.source.path)
-            if self.lone is not None:
-                self.lone.follow(source)
+            if self.standalone is not None:
+                self.standalone.follow(source)
         except BadFile as error:
             if error.may_pass:
                 return False
@@ -243,12 +253,13 @@
 
 
 async def serve(path: str | Path, seed: int) -> None:
-    """A whole process: signals, the operator file and the gate."""
+    """Runs the whole process: signals, the operator file and the gate."""
     gate = Gate(operator.read_at_start(path), seed)
-    process.on_signals(gate.stop, gate.print_counters, gate.read_again)
+    process.on_signals(gate.stop, gate.print_counters, gate.reload)
     await gate.run()
 
 
 def main(path: str | Path, seed: int, lines: logging.Formatter | None = None) -> int:
-    """The process's status: 0 ended in order, 1 a fault, 2 bad input."""
+    """Runs the process and returns its exit status: 0 for an orderly end, 1 for an internal error, 2 for bad
+    input."""
     return process.status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
--- a/lapispass/xds/desk.py
+++ b/lapispass/xds/desk.py
@@ -20,7 +20,7 @@
 from lapispass import interface
 from lapispass.core import resources, tables
 from lapispass.core.clients import TTL_FEATURE, Client, Doorway, Numbers, Step, Terms
-from lapispass.core.picture import Picture
+from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.core.versions import Shelf, Update
 from lapispass.net import log
 from lapispass.net.counters import Counters
@@ -69,7 +69,9 @@
         self.listen, self.address = listen, ""
         self.log = Part("xds", 1_000_000)
         self.shelf = Shelf()
-        self.picture = Picture(deployment.slices, deployment.classes, deployment.admission_mode == "share")
+        self.picture = TableSnapshot(
+            deployment.slices, deployment.classes, deployment.admission_mode == "share"
+        )
         resources.fixed(self.shelf, deployment.slices, max(1, deployment.default_retry), terms.ttl_us)
         self.write_routes = WriteRoutes(self.shelf)
         self.numbers = Numbers(first_number, terms.lease_us)
@@ -90,10 +92,10 @@
 
     def turned(self, events: Sequence[interface.Event], orders: Sequence[interface.Order]) -> None:
         """A turn's changes become versions; whoever watches them is woken."""
-        changes, mark = self.picture.turn(events, orders, self.addresses)
-        self.publish(self.picture.stands, changes, mark)
+        changes, mark = self.picture.apply_turn(events, orders, self.addresses)
+        self.publish(self.picture.tables, changes, mark)
 
-    def publish(self, stands: tables.Tables, changes: list[tables.Change], mark: int | None) -> None:
+    def publish(self, stands: tables.Tables, changes: list[tables.TableChange], mark: int | None) -> None:
         """Changes that stand already become versions; behind them a mark."""
         if not changes and mark is None:
             return
