--- a/lapispass/drill/__main__.py
+++ b/lapispass/drill/__main__.py
@@ -1,4 +1,4 @@
-"""Hosts controllers that share nothing, on the simulator's wire: stdin in, stdout out."""
+"""Hosts controllers for the simulator, over its wire on stdin and stdout. They share no state."""
 
 from __future__ import annotations
 
@@ -11,52 +11,56 @@
 
 
 def answer(batch: Batch, hosted: dict[int, Controller]) -> list[str]:
-    """Hands each instance its events, in order, and gathers the reply's lines."""
+    """Passes each instance its events in order; returns the lines of the reply."""
     lines: list[str] = []
-    told: dict[int, list] = {}
+    pending: dict[int, list] = {}
 
-    def hand_over(who: int) -> None:
-        events = told.pop(who, None)
+    def run_turn(instance: int) -> None:
+        events = pending.pop(instance, None)
         if events is None:
             return
         try:
-            lines.extend(format_order(who, order) for order in hosted[who].turn(batch.now, events))
-        except Exception as error:  # the wire wants every failure of the decisions told as PANIC
-            place = error.__traceback__
-            while place is not None and place.tb_next is not None:
-                place = place.tb_next
-            where = f" at line {place.tb_lineno}" if place is not None else ""
+            lines.extend(format_order(instance, order) for order in hosted[instance].turn(batch.now, events))
+        except Exception as error:  # the wire reports every failure of a controller as PANIC
+            frame = error.__traceback__
+            while frame is not None and frame.tb_next is not None:
+                frame = frame.tb_next
+            where = f" at line {frame.tb_lineno}" if frame is not None else ""
             reason = f"{type(error).__name__}{where}: {error}".replace("\n", " ")
-            lines.append(f"PANIC\t{who}\t{reason}\n")
+            lines.append(f"PANIC\t{instance}\t{reason}\n")
 
-    for who, news in batch.events:
-        match news:
+    for instance, event in batch.events:
+        match event:
             case Spawn():
-                hand_over(who)
-                hosted[who] = Controller(news.deployment, news.seed, batch.now)
-                told[who] = []
+                run_turn(instance)
+                hosted[instance] = Controller(event.deployment, event.seed, batch.now)
+                pending[instance] = []
             case Detach():
-                told.pop(who, None)  # a killed instance acts no more
-                if hosted.pop(who, None) is None:
-                    raise WireError(f"round {batch.round_number}: DETACH for unknown instance {who}")
+                pending.pop(instance, None)  # a killed instance does nothing more
+                if hosted.pop(instance, None) is None:
+                    raise WireError(f"round {batch.round_number}: DETACH for unknown instance {instance}")
             case _:
-                if who not in hosted:
-                    raise WireError(f"round {batch.round_number}: event for unknown instance {who}")
-                told.setdefault(who, []).append(news)
-    for who in list(told):
-        hand_over(who)
+                if instance not in hosted:
+                    raise WireError(f"round {batch.round_number}: event for unknown instance {instance}")
+                pending.setdefault(instance, []).append(event)
+    for instance in list(pending):
+        run_turn(instance)
     lines.append(f"NEXT\t{batch.round_number}\n")
     return lines
 
 
-def main(source: TextIO, sink: TextIO, complaints: TextIO) -> int:
+def main(source: TextIO, sink: TextIO, errors: TextIO) -> int:
+    """Answers rounds until the end of input; returns the exit code.
+
+    The code is 2 after malformed input, and 1 if the run is interrupted or the output was closed.
+    """
     hosted: dict[int, Controller] = {}
     try:
         for batch in read_batches(source):
             sink.write("".join(answer(batch, hosted)))
             sink.flush()
     except (WireError, UnicodeDecodeError) as error:
-        print(f"lapispass.drill: {error}", file=complaints)
+        print(f"lapispass.drill: {error}", file=errors)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
         return 1
--- a/lapispass/rules/__init__.py
+++ b/lapispass/rules/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of the rules, fed with what stand-ins saw pass, never with what the program believes."""
+"""Checkers of the rules, fed with what stand-ins observed, never with the program's own state."""
--- a/lapispass/rules/checks.py
+++ b/lapispass/rules/checks.py
@@ -1,4 +1,4 @@
-"""The rules for held connections, checked on what nodes and screens saw pass."""
+"""Checks the rules on complete records of what nodes and clients observed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Breach(NamedTuple):
-    """A rule that was broken: which, whose, when, and what shows it."""
+    """A breach of a rule: which rule, by whom, when, and the evidence."""
 
     rule: str
     subject: str
@@ -17,7 +17,7 @@
 
 
 class ExecutedWrite(NamedTuple):
-    """A write that a node carried out."""
+    """A write that a node executed; `number` identifies it in the whole run."""
 
     at_us: int
     node: str
@@ -26,7 +26,7 @@
 
 
 class PublishedStep(NamedTuple):
-    """A step that was published for a slice: an owner, or none for the empty step."""
+    """A handover step that was published for a slice: its owner, or None for an empty table."""
 
     at_us: int
     slice: int
@@ -34,20 +34,19 @@
 
 
 def check_writes(
-    carried: Iterable[ExecutedWrite], published: Iterable[PublishedStep], slice_of: Callable[[str], int]
+    executed: Iterable[ExecutedWrite], published: Iterable[PublishedStep], slice_of: Callable[[str], int]
 ) -> list[Breach]:
-    """Rule 2: no write twice, none at a node that another one has followed, none at one that was never the
-    owner.
+    """Rule 2: each write is executed once, and only at the slice's owner at that time.
 
-    A write still counts as the owner's while the slice is bare: that is what the wait before a new owner is
-    for.
+    While the slice has no owner, writes may still be executed at the last one: the settle wait before a new
+    owner exists for them.
     """
     breaches: list[Breach] = []
     steps: dict[int, list[PublishedStep]] = {}
     for step in sorted(published):
         steps.setdefault(step.slice, []).append(step)
     seen: dict[str, ExecutedWrite] = {}
-    for write in sorted(carried):
+    for write in sorted(executed):
         if write.number in seen:
             first = seen[write.number]
             breaches.append(
@@ -55,7 +54,7 @@
                     "2",
                     write.key,
                     write.at_us,
-                    f"write {write.number} at {write.node}, and before at {first.node}",
+                    f"write {write.number} executed at {write.node}, and before that at {first.node}",
                 )
             )
         seen.setdefault(write.number, write)
@@ -69,7 +68,7 @@
                     "2",
                     write.key,
                     write.at_us,
-                    f"write {write.number} at {write.node}, owner {owner} since "
+                    f"write {write.number} executed at {write.node}, but owner {owner} since "
                     f"{write.at_us - owners[-1].at_us if owners else 0} us",
                 )
             )
@@ -77,7 +76,7 @@
 
 
 class ConnectionEnd(NamedTuple):
-    """The end of a connection at a node."""
+    """The end of a connection at a node, with its WebSocket close code."""
 
     at_us: int
     node: str
@@ -87,43 +86,43 @@
 def check_drains(
     ends: Iterable[ConnectionEnd], left_over: dict[str, int], deadlines: dict[str, int], slack_us: int
 ) -> list[Breach]:
-    """Rule 3: at a node that drains nothing is held after its deadline, and each end had a close frame."""
+    """Rule 3: no connection outlasts the deadline of its draining node; each ends with a close frame."""
     breaches = [
-        Breach("3", node, deadlines[node], f"{count} connections left")
+        Breach("3", node, deadlines[node], f"{count} connections left after the deadline")
         for node, count in left_over.items()
         if count and node in deadlines
     ]
     for end in ends:
         if end.node in deadlines:
             if end.code == 1006:
-                breaches.append(Breach("3", end.node, end.at_us, "a connection ended without a close frame"))
+                breaches.append(Breach("3", end.node, end.at_us, "connection ended without a close frame"))
             if end.at_us > deadlines[end.node] + slack_us:
                 breaches.append(
                     Breach(
                         "3",
                         end.node,
                         end.at_us,
-                        f"closed {end.at_us - deadlines[end.node]} us after the deadline",
+                        f"connection closed {end.at_us - deadlines[end.node]} us after the deadline",
                     )
                 )
     return breaches
 
 
 def check_bursts(ends: Iterable[ConnectionEnd], span_us: int, most: int) -> list[Breach]:
-    """No more ends within any one span than stated."""
+    """No more than `most` connections end within one span."""
     counts = Counter(end.at_us // span_us for end in ends)
     return [
-        Breach("bursts", "", span * span_us, f"{count} ends within {span_us} us, {most} at most")
+        Breach("bursts", "", span * span_us, f"{count} connections ended within {span_us} us, limit {most}")
         for span, count in sorted(counts.items())
         if count > most
     ]
 
 
-def check_cold_load(peaks: dict[str, float], fallen: Iterable[str], most: float) -> list[Breach]:
-    """Rule 4: no cold node is sent more than the stated multiple of what it can take, and none falls over."""
+def check_cold_load(peaks: dict[str, float], failed: Iterable[str], most: float) -> list[Breach]:
+    """Rule 4: no cold node is sent more than `most` times its capacity, and none fails under load."""
     breaches = [
-        Breach("4", node, 0, f"sent {peak:.2f} times what it can take, {most:.2f} at most")
+        Breach("4", node, 0, f"sent {peak:.2f} times its capacity while cold, limit {most:.2f}")
         for node, peak in sorted(peaks.items())
         if peak > most
     ]
-    return breaches + [Breach("4", node, 0, "fell over") for node in fallen]
+    return breaches + [Breach("4", node, 0, "failed under load") for node in failed]
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -80,14 +80,14 @@
     ("text", "complaint"),
     [
         ("SYNC\t1\t1\nNONSENSE\t0\nEOF_BATCH\n", "line 2: unknown verb 'NONSENSE'"),
-        ("SYNC\t1\nEOF_BATCH\n", "line 1: SYNC: 1 values where 2 belong"),
+        ("SYNC\t1\nEOF_BATCH\n", "line 1: SYNC: got 1 values, expected 2"),
         ("SYNC\t1\t1\nFIRED\t0\tx\nEOF_BATCH\n", "line 2: FIRED: invalid literal"),
-        ("SYNC\t1\t1\nFIRED\t0\nEOF_BATCH\n", "line 2: FIRED: 1 values where 2 belong"),
+        ("SYNC\t1\t1\nFIRED\t0\nEOF_BATCH\n", "line 2: FIRED: got 1 values, expected 2"),
         ("SYNC\t1\t1\n", "input ends inside a batch"),
-        ("EOF_BATCH\n", "SYNC expected"),
+        ("EOF_BATCH\n", "expected SYNC"),
         ("SYNC\t1\t1\nFIRED\t4\t0\nEOF_BATCH\n", "round 1: event for unknown instance 4"),
         ("SYNC\t1\t1\nSPAWN\t0\t5\t{}\nEOF_BATCH\n", "SPAWN: settings"),
-        ("SYNC\t1\t1\nTOPOLOGY\t0\tincr\t1\t1\nEOF_BATCH\n", "ENTRY expected"),
+        ("SYNC\t1\t1\nTOPOLOGY\t0\tincr\t1\t1\nEOF_BATCH\n", "expected ENTRY"),
     ],
 )
 def test_what_is_malformed_is_said_in_one_line(text: str, complaint: str) -> None:
