--- a/tests/rule_world.py
+++ b/tests/rule_world.py
@@ -1,4 +1,4 @@
-"""The rules' plain model on sockets: a relay whose proxies are watched, and a registry that changes."""
+"""A simple model of rule 2 on sockets: a relay with proxies whose writes are checked, and a registry."""
 
 from __future__ import annotations
 
@@ -14,35 +14,40 @@
 
 
 class Proxy:
+    """A proxy's stream and tables; the times are those of the event loop."""
+
     joined, broken_at, stream, last_at = False, -1e9, 0, 0.0
 
     def __init__(self) -> None:
-        self.tables: dict[int, tuple[str | None, bool]] = {}  # owner, and whether writes are let in
+        self.tables: dict[int, tuple[str | None, bool]] = {}  # owner, and whether it admits writes
         self.out: set[str] = set()
 
 
 class World(Relay):
-    """Proxies that take orders late and in order, break off and come back; writes are watched by slice."""
+    """A relay with proxies that apply orders late but in order, and whose streams end and come back.
+
+    Rule 2 is checked for each slice on the tables that the proxies route writes by.
+    """
 
     def __init__(self, seed: int, slices: int, proxies: int) -> None:
         super().__init__()
         self.chance, self.loop = random.Random(seed), asyncio.get_running_loop()
         self.store: dict[int, tuple[str | None, bool]] = {n: (f"s-{n % 3}", True) for n in range(slices)}
         self.proxies = [Proxy() for _ in range(proxies)]
-        self.last: dict[tuple[int, str], float] = {}  # when writes could last go from some proxy to an owner
+        self.last: dict[tuple[int, str], float] = {}  # when writes could last go to an owner
         self.broken: list[str] = []
         self.moves = 0
         for node in range(proxies):
             self.join(node)
 
     def standing(self) -> list[tuple[str, str]]:
-        stands = [
+        events = [
             ("SUBSCRIBE", f"node={n}&locality=a&w=1&cold=0") for n, p in enumerate(self.proxies) if p.joined
         ]
         for number, (owner, _) in self.store.items():
-            stands.append(("GRANT", f"shard={number}&set=1"))
-            stands += [("ROW", f"shard={number}&endpoint={owner}&w=1")] if owner else []
-        return stands
+            events.append(("GRANT", f"shard={number}&set=1"))
+            events += [("ROW", f"shard={number}&endpoint={owner}&w=1")] if owner else []
+        return events
 
     def tell(self, kind: str, data: str) -> None:
         if self.streams and not self.streams[-1][1].is_closing():
@@ -61,7 +66,7 @@
             self.tell("CLOSED", f"node={node}")
 
     def out_of_touch(self) -> None:
-        """The controller is gone: all streams have broken, and other proxies' tables come with the next."""
+        """The controller has ended: all streams end, and the proxies read the store on their next streams."""
         for node in range(len(self.proxies)):
             self.leave(node)
             self.join(node)
@@ -73,40 +78,40 @@
             changed(self.store, set(), text)
         for node, proxy in enumerate(self.proxies):
             if proxy.joined:
-                # Never at the same instant as the one before: timers due together run in any order.
+                # Never at the same instant as the message before: timers due together run in any order.
                 proxy.last_at = max(proxy.last_at + 1e-6, self.loop.time() + self.chance.uniform(0.002, 0.06))
                 self.loop.call_at(proxy.last_at, self.apply, node, proxy.stream, orders)
 
     def apply(self, node: int, stream: int, orders: list[str]) -> None:
         proxy = self.proxies[node]
         if not proxy.joined or proxy.stream != stream:
-            return  # what was under way is lost with the stream
+            return  # messages in flight are lost with the stream
         self.look()
         for text in orders:
-            if mark := changed(proxy.tables, proxy.out, text):
-                self.tell("ACK", f"node={node}&nonce={mark}&latency=20.0")
+            if barrier := changed(proxy.tables, proxy.out, text):
+                self.tell("ACK", f"node={node}&nonce={barrier}&latency=20.0")
         self.look()
 
     def look(self) -> None:
-        """Rule 2: a slice's writes are never with two owners, nor while an earlier one may hold some."""
+        """Checks rule 2: writes of a slice go to one owner, and none while an earlier one may hold some."""
         now = self.loop.time()
         for proxy in self.proxies:
-            until_ = now if proxy.joined else min(now, proxy.broken_at + TOLD.lease_us / 1e6)
-            for number, (owner, open_) in proxy.tables.items():
-                if owner and open_ and owner not in proxy.out:
-                    self.last[number, owner] = max(self.last.get((number, owner), 0), until_)
+            may_send_until = now if proxy.joined else min(now, proxy.broken_at + TOLD.lease_us / 1e6)
+            for number, (owner, admitted) in proxy.tables.items():
+                if owner and admitted and owner not in proxy.out:
+                    self.last[number, owner] = max(self.last.get((number, owner), 0), may_send_until)
         for number in self.store:
-            lately = [
+            recent = [
                 owner
                 for (n, owner), at in self.last.items()
                 if n == number and at > now - TOLD.linger_us / 1e6
             ]
-            if len(lately) > 1:
-                self.broken.append(f"writes of slice {number} with {lately}")
+            if len(recent) > 1:
+                self.broken.append(f"slice {number} has writes at several owners: {recent}")
 
 
 def changed(tables: dict[int, tuple[str | None, bool]], out: set[str], text: str) -> str:
-    """Applies an order; the mark if it asks for an answer."""
+    """Applies an order to tables; returns the number of a barrier, or an empty text for other orders."""
     match text.split(","):
         case ["SET", number, owner, _]:
             tables[int(number)] = owner, tables[int(number)][1]
@@ -118,13 +123,13 @@
             out.add(owner)
         case ["IN", owner]:
             out.discard(owner)
-        case ["SYNC", mark, _]:
-            return mark
+        case ["SYNC", barrier, _]:
+            return barrier
     return ""
 
 
 class Roll(Party):
-    """A registry that says what stands, whatever version is asked for."""
+    """A registry that always sends snapshots, whatever version a watch asks for."""
 
     def __init__(self) -> None:
         super().__init__(self.roll)
@@ -133,12 +138,12 @@
             self.put(f"s-{number}", "Ready")
 
     async def roll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
-        state, told = h11.Connection(h11.SERVER), 0
+        state, sent = h11.Connection(h11.SERVER), 0
         await request(reader, state)
         writer.write(answered(state, 200, None))
         while not writer.is_closing():
-            text = json.dumps(listing(self.version, *self.members.values())) if told != self.version else ""
-            told = self.version
+            text = json.dumps(listing(self.version, *self.members.values())) if sent != self.version else ""
+            sent = self.version
             writer.write(state.send(h11.Data(data=text.encode() + b"\n")))
             await asyncio.sleep(0.05)
         return "reset"
@@ -148,23 +153,23 @@
         self.members[name] = {**MEMBER, "id": name, "phase": phase}
 
     def change(self, chance: random.Random) -> None:
-        """A server drawn from three drains, goes or returns; the last one that is ready stays."""
+        """One of three servers, drawn at random, drains, goes or returns; the last ready one stays ready."""
         name = f"s-{chance.randrange(3)}"
-        up = sum(member["phase"] == "Ready" for member in self.members.values())
+        ready_count = sum(member["phase"] == "Ready" for member in self.members.values())
         ready = self.members[name]["phase"] == "Ready"
-        if not ready or up > 1:
+        if not ready or ready_count > 1:
             self.put(name, chance.choice(("Terminating", "Gone")) if ready else "Ready")
 
 
 def is_right(world: World, roll: Roll) -> bool:
-    """Every slice has an owner that is ready, and all proxies know it."""
+    """Whether every slice has a ready owner, and all proxies hold the stored tables."""
     ready = {name for name, member in roll.members.items() if member["phase"] == "Ready"}
     owners = {owner for owner, _ in world.store.values()}
     return owners <= ready and all(proxy.tables == world.store for proxy in world.proxies)
 
 
 async def comes_right(world: World, roll: Roll) -> None:
-    """Once nothing goes wrong any more, all is right again."""
+    """Connects all proxies and waits until every slice is served, with no breach of rule 2."""
     for node in range(len(world.proxies)):
         world.join(node)
     await until(lambda: is_right(world, roll))
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The codec and the hosting: what comes in, what goes out, and what is wrong said plainly."""
+"""The simulator's front: events are read, orders are written, and malformed input is reported."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 )
 
 
-def play(text: str) -> tuple[int, str, str]:
-    sink, complaints = io.StringIO(), io.StringIO()
-    return main(io.StringIO(text), sink, complaints), sink.getvalue(), complaints.getvalue()
+def run_main(text: str) -> tuple[int, str, str]:
+    sink, errors = io.StringIO(), io.StringIO()
+    return main(io.StringIO(text), sink, errors), sink.getvalue(), errors.getvalue()
 
 
 def test_events_are_read_with_absent_values() -> None:
@@ -69,15 +69,15 @@
 
 def test_an_instance_starts_is_killed_and_starts_again_in_one_batch() -> None:
     spawn = f"SPAWN\t0\t5\t{ENV}\nTOPOLOGY\t0\twarm_copy\t1\t0\n"
-    status, said, complaint = play(
+    status, output, error = run_main(
         f"SYNC\t7\t1\n{spawn}EOF_BATCH\nSYNC\t9\t2\nFIRED\t0\t0\nDETACH\t0\n{spawn}EOF_BATCH\n"
     )
-    assert (status, complaint) == (0, "")
-    assert said.count("TAIL\t0\t1\n") == 2 and said.endswith("NEXT\t2\n") and "PANIC" not in said
+    assert (status, error) == (0, "")
+    assert output.count("TAIL\t0\t1\n") == 2 and output.endswith("NEXT\t2\n") and "PANIC" not in output
 
 
 @pytest.mark.parametrize(
-    ("text", "complaint"),
+    ("text", "error"),
     [
         ("SYNC\t1\t1\nNONSENSE\t0\nEOF_BATCH\n", "line 2: unknown verb 'NONSENSE'"),
         ("SYNC\t1\nEOF_BATCH\n", "line 1: SYNC: got 1 values, expected 2"),
@@ -90,12 +90,12 @@
         ("SYNC\t1\t1\nTOPOLOGY\t0\tincr\t1\t1\nEOF_BATCH\n", "expected ENTRY"),
     ],
 )
-def test_what_is_malformed_is_said_in_one_line(text: str, complaint: str) -> None:
-    status, _, said = play(text)
-    assert status == 2 and complaint in said and said.count("\n") == 1
+def test_what_is_malformed_is_said_in_one_line(text: str, error: str) -> None:
+    status, _, output = run_main(text)
+    assert status == 2 and error in output and output.count("\n") == 1
 
 
 def test_a_fault_in_the_decisions_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lapispass.drill.__main__.Controller.turn", lambda *_: 1 // 0)
-    _, said, _ = play(f"SYNC\t7\t1\nSPAWN\t0\t5\t{ENV}\nEOF_BATCH\n")
-    assert said.startswith("PANIC\t0\tZeroDivisionError") and said.endswith("NEXT\t1\n")
+    _, output, _ = run_main(f"SYNC\t7\t1\nSPAWN\t0\t5\t{ENV}\nEOF_BATCH\n")
+    assert output.startswith("PANIC\t0\tZeroDivisionError") and output.endswith("NEXT\t1\n")
--- a/tests/test_interval_figures.py
+++ b/tests/test_interval_figures.py
@@ -1,4 +1,4 @@
-"""What was slow in an interval: gathered from events and orders, measured on a real process, and logged."""
+"""Figures of an interval: counted from events and orders, and measured and logged by a real process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     figures.event(0, interface.StoredOwner(2, "s"))
     figures.event(0, interface.SliceGrant(4, False))
     figures.order(SECOND_US, interface.ClearTable(1))
-    figures.order(2 * SECOND_US, interface.ClearTable(1))  # said again: empty since the first
+    figures.order(2 * SECOND_US, interface.ClearTable(1))  # again: it has been empty since the first
     figures.order(7 * SECOND_US, interface.SetTableEntry(1, "t", 1.0))
     figures.order(7 * SECOND_US, interface.SetTableEntry(2, "t", 1.0))  # it had an owner
     assert figures.take(8 * SECOND_US) == Figures(
@@ -56,13 +56,13 @@
         slowest_mark_us=310_000,
         tries=30,
         lost_tries=15,
-        slowest_server="b",  # none of the tries at c was answered
+        slowest_server="b",  # all tries at c failed
         slowest_server_us=70_000,
     )
 
 
 async def test_a_request_that_waited_in_the_system_is_logged_with_its_time(tmp_path: Path) -> None:
-    """Guards against late answers that no log line tells of: the connection does not end, the loop runs."""
+    """A late answer must be logged even if the connection does not end and the event loop runs on."""
     async with controller(tmp_path) as running:
         reader, writer = await running.connect()
         writer.write(b"PING\r\n")
--- a/tests/test_rule_world.py
+++ b/tests/test_rule_world.py
@@ -1,4 +1,4 @@
-"""Rule 2 on sockets, watched by the plain model, while everything fails or controllers end."""
+"""Rule 2 on sockets, checked by a simple model, while connections fail or controllers end."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
         chance = world.chance
         service = Service(launch(world.address, roll.address, told=DEPLOYMENT))
         async with running(service.run()) as task:
-            begun = world.loop.time()
-            # For 4 s, and on a slow machine until slices have moved: the count below needs no fast one.
+            started_at = world.loop.time()
+            # For 4 s; on a slow machine longer, until enough slices have moved for the assertion below.
             while not world.broken and (
-                (elapsed := world.loop.time() - begun) < 4 or (world.moves <= 3 and elapsed < 60)
+                (elapsed := world.loop.time() - started_at) < 4 or (world.moves <= 3 and elapsed < 60)
             ):
                 match chance.randrange(8):
                     case 0 | 1:
@@ -40,7 +40,7 @@
                     case 5 if chance.random() < 0.4:
                         (world if chance.random() < 0.7 else roll).reset()
                     case 5 if chance.random() < 0.2:
-                        # The fault played is a process that stands still: the loop must block here.
+                        # This simulates a process that is paused, so the event loop must block here.
                         time.sleep(chance.uniform(0.05, 0.3))  # noqa: ASYNC251
                     case 6 | 7:
                         roll.change(chance)
@@ -57,18 +57,18 @@
 async def test_rule_2_holds_while_controllers_end_at_any_instant_and_others_take_over(seed: int) -> None:
     async with World(seed, SLICES, PROXIES) as world, Roll() as roll:
         chance = world.chance
-        begun, life = world.loop.time(), 0
-        # For 4 s, and on a slow machine for as many lives as are asked for below.
+        started_at, incarnation = world.loop.time(), 0
+        # For 4 s; on a slow machine longer, until enough controllers have run for the assertion below.
         while not world.broken and (
-            (elapsed := world.loop.time() - begun) < 4 or (life <= 3 and elapsed < 60)
+            (elapsed := world.loop.time() - started_at) < 4 or (incarnation <= 3 and elapsed < 60)
         ):
-            life += 1
+            incarnation += 1
             service = Service(
-                launch(world.address, roll.address, told=DEPLOYMENT, seed=seed * 1000 + life * 7919)
+                launch(world.address, roll.address, told=DEPLOYMENT, seed=seed * 1000 + incarnation * 7919)
             )
             task = asyncio.create_task(service.run())
-            ends = world.loop.time() + chance.uniform(0.05, 0.9)
-            while world.loop.time() < ends and not world.broken:
+            ends_at = world.loop.time() + chance.uniform(0.05, 0.9)
+            while world.loop.time() < ends_at and not world.broken:
                 if chance.random() < 0.3:
                     roll.change(chance)
                 if chance.random() < 0.2:
@@ -82,4 +82,4 @@
         world.faults.clear()
         async with running(Service(launch(world.address, roll.address, told=DEPLOYMENT, seed=seed)).run()):
             await until(lambda: is_right(world, roll))
-        assert not world.broken and life > 3
+        assert not world.broken and incarnation > 3
--- a/tests/test_unserved_slices.py
+++ b/tests/test_unserved_slices.py
@@ -1,4 +1,4 @@
-"""Since when proxies have no line to pick for a slice: by news and orders, and in the log of a process."""
+"""Since when slices are unserved, by events and orders, and what the log shows of their handovers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lapispass.core.unserved_slices import UnservedSlices, UnservedSpan
 
 
-def lines(*owners: str) -> UnservedSlices:
+def served_by(*owners: str) -> UnservedSlices:
     followed = UnservedSlices(10 * SECOND_US)
     for slice_, owner in enumerate(owners):
         followed.event(0, interface.SliceGrant(slice_, True))
@@ -20,12 +20,12 @@
 
 
 def test_a_gap_begins_when_the_owner_is_shut_out_not_when_the_table_is_emptied() -> None:
-    followed = lines("a", "b")
+    followed = served_by("a", "b")
     followed.order(1 * SECOND_US, interface.SetWithdrawn("a", True))
     followed.order(9 * SECOND_US, interface.ClearTable(0))
     assert followed.overdue(11 * SECOND_US) == []
     assert followed.overdue(12 * SECOND_US) == [UnservedSpan(0, None, 11 * SECOND_US)]
-    assert followed.overdue(13 * SECOND_US) == []  # told once
+    assert followed.overdue(13 * SECOND_US) == []  # returned once
     followed.order(14 * SECOND_US, interface.SetTableEntry(0, "b", 1.0))
     assert followed.take_ended() == [UnservedSpan(0, "b", 13 * SECOND_US)]
     assert followed.take_ended() == [] and followed.take_longest(20 * SECOND_US) == 13 * SECOND_US
@@ -33,7 +33,7 @@
 
 
 def test_an_owner_that_is_shut_out_serves_none_of_its_slices_until_it_is_let_in() -> None:
-    followed = lines("a", "a", "b")
+    followed = served_by("a", "a", "b")
     followed.order(1 * SECOND_US, interface.SetWithdrawn("a", True))
     assert set(followed.since) == {0, 1}
     followed.order(2 * SECOND_US, interface.SetTableEntry(2, "a", 1.0))
@@ -43,11 +43,11 @@
 
 
 def test_a_slice_that_is_taken_away_has_no_gap_here() -> None:
-    followed = lines("a")
+    followed = served_by("a")
     followed.order(1 * SECOND_US, interface.ClearTable(0))
     followed.event(2 * SECOND_US, interface.SliceGrant(0, False))
     assert not followed.since and not followed.owners and followed.overdue(60 * SECOND_US) == []
-    followed.order(3 * SECOND_US, interface.SetTableEntry(0, "a", 1.0))  # too late: not ours
+    followed.order(3 * SECOND_US, interface.SetTableEntry(0, "a", 1.0))  # too late: no longer assigned here
     assert not followed.owners
 
 
@@ -56,13 +56,13 @@
     figures.event(0, interface.SliceGrant(1, True))
     figures.event(0, interface.StoredOwner(1, "a"))
     figures.order(SECOND_US, interface.SetWithdrawn("a", True))
-    told = Progress(2, 3, 4, 5, 6, 7, turns_without_room=8)
-    shown = Figures(given=1, without_line=1, longest_without_line_us=2 * SECOND_US)
-    shown.emptied, shown.closing, shown.longest_closing_us = 2, 3, 4
-    shown.unanswered, shown.longest_unanswered_us, shown.longest_unanswered = 5, 6, 7
-    shown.turns_without_room = 8
-    assert figures.take(3 * SECOND_US, told) == shown
-    assert figures.take(3 * SECOND_US, told).turns_without_room == 0
+    progress = Progress(2, 3, 4, 5, 6, 7, turns_without_room=8)
+    expected = Figures(given=1, without_line=1, longest_without_line_us=2 * SECOND_US)
+    expected.emptied, expected.closing, expected.longest_closing_us = 2, 3, 4
+    expected.unanswered, expected.longest_unanswered_us, expected.longest_unanswered = 5, 6, 7
+    expected.turns_without_room = 8
+    assert figures.take(3 * SECOND_US, progress) == expected
+    assert figures.take(3 * SECOND_US, progress).turns_without_room == 0
 
 
 def test_a_controller_names_the_proxy_that_a_handover_waits_for() -> None:
@@ -71,8 +71,8 @@
     fleet.change(102, "draining")
     fleet.run(4)
     assert fleet.controller is not None
-    moving = next(number for number, table in fleet.store.items() if table.owner is None)
-    state = fleet.controller.handover(moving)
+    moving_slice = next(number for number, table in fleet.store.items() if table.owner is None)
+    state = fleet.controller.handover(moving_slice)
     assert state is not None and (state.step, state.waiting_for, state.proxies) == ("emptied", 1, (1,))
     assert 3 * SECOND_US < state.for_us <= 4 * SECOND_US
     progress = fleet.controller.progress()
