--- a/lapispass/core/takeover.py
+++ b/lapispass/core/takeover.py
@@ -1,15 +1,16 @@
-"""Slices under epochs: who may act on one, when it is taken, and when it is let go.
+"""How controllers divide the slices: which may act on a slice, and when it is claimed and released.
 
-The truth is the service's record of a slice: its epoch only rises, and each change is a compare-and-swap on
-what was last read. A controller acts on a slice only between its own claim (or the claim it reads back
-after an answer was lost) and the end of its session. It claims one that
+The record of a slice in the coordination service decides. Its epoch only rises, and each change is a
+compare-and-swap on the revision that was last read. A controller acts on a slice only between its own claim
+(or a claim that it reads back after the answer was lost) and the end of its session. It claims a slice
 
-- nobody holds: at once (its last holder has let it go, and published nothing since); - a dead one holds,
-`linger_us` after the service said that its lease had ended: by then the dead one has stopped by its own
-  clock (`membership.py`), and what it had handed to the network has arrived or is gone;
+- at once if nobody holds it: the last holder has released it, and has published nothing since;
+- if a dead controller holds it, `linger_us` after the service reported the end of that controller's lease.
+  By then the dead controller has stopped by its own clock (`membership.py`), and what it had handed to the
+  network has arrived or is lost.
 
-and lets one go that another should hold, when no handover of its own is under way there. At most `most` are
-let go at a time, so that a newcomer does not stop the fleet.
+It releases a slice that another controller should hold, once no handover of its own is under way there. At
+most `max_releases` are released at a time, so that a new controller does not stop the whole fleet.
 """
 
 from __future__ import annotations
@@ -23,21 +24,24 @@
 
 
 class Record(NamedTuple):
-    """A slice in the service. `revision` is that of its last change; 0 where it has never been written."""
+    """The record of a slice in the service.
+
+    `revision` is that of its last change; 0 if it has never been written.
+    """
 
     epoch: int = 0
-    holder: str = ""  # controller and boot; nobody: it was let go
+    holder: str = ""  # `controller/boot`; empty if it was released
     owner: str | None = None
     share: float = 1.0
     shut: bool = False
     revision: int = 0
 
 
-FRESH = Record()
+NEVER_WRITTEN = Record()
 
 
-class Claim(NamedTuple):
-    """Write this record, if the slice is still at the revision."""
+class RecordUpdate(NamedTuple):
+    """A record to be written if the slice's record is still at this revision."""
 
     slice: int
     revision: int
@@ -45,100 +49,102 @@
 
 
 @dataclass
-class Work:
-    """What follows from a look."""
+class TakeoverActions:
+    """What an evaluation found to do."""
 
-    claims: list[Claim]
-    releases: list[Claim]
-    start: list[int]  # ours now: hand them to the module, with their owner
-    stop: list[int]  # not ours any more: take them from the module
-    again_at: int = NEVER
+    claims: list[RecordUpdate]
+    releases: list[RecordUpdate]
+    start: list[int]  # newly held slices, to be given to the controller with their owner
+    stop: list[int]  # slices that are no longer held, to be taken from the controller
+    retry_at: int = NEVER  # when the next slice becomes claimable
 
 
 class Takeover:
-    """One controller's view of all slices."""
+    """One controller's view of the records of all slices."""
 
-    def __init__(self, slices: int, name: str, linger_us: int, most: int = 64) -> None:
-        self.slices, self.name, self.linger_us, self.most = slices, name, linger_us, most
+    def __init__(self, slices: int, name: str, linger_us: int, max_releases: int = 64) -> None:
+        self.slices, self.name, self.linger_us, self.max_releases = slices, name, linger_us, max_releases
         self.records: dict[int, Record] = {}
         self.acting: set[int] = set()
 
     def received(self, number: int, record: Record) -> None:
-        """A record as the service has it now; an older one than known is passed over."""
-        if record.revision >= self.records.get(number, FRESH).revision:
+        """Stores a record read from the service, unless a newer one is known."""
+        if record.revision >= self.records.get(number, NEVER_WRITTEN).revision:
             self.records[number] = record
 
-    def look(
+    def evaluate(
         self,
         now: int,
         members: Mapping[str, float],
         gone_at: Mapping[str, int],
-        session: bool,
-        busy: Callable[[int], bool],
-        leaving: bool = False,
-    ) -> Work:
-        """`members` are alive by name; `gone_at` tells since when holders (name/boot) are known to be dead.
-
-        Without a session nothing is ours: all stops at once, and nothing is claimed or let go.
+        has_session: bool,
+        is_busy: Callable[[int], bool],
+        is_leaving: bool = False,
+    ) -> TakeoverActions:
+        """Compares the records with how the slices should be divided.
+
+        `members` are the weights of the live controllers by name. `gone_at` is the time since when each dead
+        holder (`name/boot`) is known to be dead. Without a session the controller holds nothing: it stops
+        acting on all slices at once, and claims and releases none.
         """
-        work = Work([], [], [], [])
-        if not session:
-            work.stop = sorted(self.acting)
+        actions = TakeoverActions([], [], [], [])
+        if not has_session:
+            actions.stop = sorted(self.acting)
             self.acting.clear()
-            return work
+            return actions
         alive = {
-            name: 0.0 if leaving and name == self.plain(self.name) else weight
+            name: 0.0 if is_leaving and name == self.controller_name(self.name) else weight
             for name, weight in members.items()
         }
         released = 0
         for number in range(self.slices):
-            record = self.records.get(number, FRESH)
-            should = ownership.preferred_owner(number, alive)
-            ours = record.holder == self.name
-            if ours and number not in self.acting:
+            record = self.records.get(number, NEVER_WRITTEN)
+            wanted_owner = ownership.preferred_owner(number, alive)
+            is_own = record.holder == self.name
+            if is_own and number not in self.acting:
                 self.acting.add(number)
-                work.start.append(number)
-            elif not ours and number in self.acting:
+                actions.start.append(number)
+            elif not is_own and number in self.acting:
                 self.acting.discard(number)
-                work.stop.append(number)
-            if ours:
+                actions.stop.append(number)
+            if is_own:
                 if (
-                    should is not None
-                    and should != self.plain(self.name)
-                    and released < self.most
-                    and not busy(number)
+                    wanted_owner is not None
+                    and wanted_owner != self.controller_name(self.name)
+                    and released < self.max_releases
+                    and not is_busy(number)
                 ):
                     released += 1
-                    work.releases.append(Claim(number, record.revision, record._replace(holder="")))
-            elif should == self.plain(self.name):
-                free_at = self.free_at(record, gone_at, alive)
-                if now >= free_at:
+                    actions.releases.append(RecordUpdate(number, record.revision, record._replace(holder="")))
+            elif wanted_owner == self.controller_name(self.name):
+                claimable_at = self.claimable_at(record, gone_at, alive)
+                if now >= claimable_at:
                     epoch = record.epoch + 1
-                    work.claims.append(
-                        Claim(number, record.revision, record._replace(epoch=epoch, holder=self.name))
+                    actions.claims.append(
+                        RecordUpdate(number, record.revision, record._replace(epoch=epoch, holder=self.name))
                     )
                 else:
-                    work.again_at = min(work.again_at, free_at)
-        return work
+                    actions.retry_at = min(actions.retry_at, claimable_at)
+        return actions
 
-    def free_at(self, record: Record, gone_at: Mapping[str, int], alive: Collection[str]) -> int:
-        """From when on a slice may be claimed; `NEVER` while its holder is alive and has not let it go."""
+    def claimable_at(self, record: Record, gone_at: Mapping[str, int], alive: Collection[str]) -> int:
+        """When a slice may be claimed; `NEVER` while a live controller holds it."""
         if not record.holder:
             return 0
         if record.holder in gone_at:
             return gone_at[record.holder] + self.linger_us
         return NEVER
 
-    def orphans(self, alive: Collection[str], gone_at: Mapping[str, int]) -> set[str]:
-        """Holders (name/boot) of which nothing is alive, and whose end was never seen: it came before we did.
+    def unseen_dead_holders(self, alive: Collection[str], gone_at: Mapping[str, int]) -> set[str]:
+        """Holders (`name/boot`) that are dead and whose end was not seen, as it came before this start.
 
-        A life's key is made before its first claim, and all is told in the order of revisions: so who holds
-        a slice and has no key has had one, and its lease has ended.
+        An incarnation writes its key before its first claim, and all changes are received in the order of
+        revisions. So a holder of a slice that has no key has had one, and its lease has ended.
         """
         holders = {record.holder for record in self.records.values() if record.holder}
         return holders - set(alive) - gone_at.keys()
 
     @staticmethod
-    def plain(holder: str) -> str:
-        """A holder's name without its boot."""
+    def controller_name(holder: str) -> str:
+        """The name of a holder without its boot."""
         return holder.partition("/")[0]
--- a/lapispass/gate/gate_server.py
+++ b/lapispass/gate/gate_server.py
@@ -16,8 +16,8 @@
 from lapispass.core.table_snapshot import TableSnapshot
 from lapispass.gate import wire
 from lapispass.gate.channel import STREAM_ENDS, read_line
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time, streams
-from lapispass.net.log import Part
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries, stream_protocols
+from lapispass.net.log import PartLogger
 from lapispass.net.service import Service
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile, Source
@@ -78,7 +78,7 @@
         self.last_boots: dict[str, tuple[str, int]] = {}
         self.addresses: dict[str, tables.Address] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.log, self.counters = Part("gates", self.limits.log_every_us), service.counters
+        self.log, self.counters = PartLogger("gates", self.limits.log_every_us), service.counters
         self.address = ""
 
     # following the service's turns
@@ -118,12 +118,12 @@
 
     async def run(self) -> None:
         """Listens, and evaluates the nodes at a fixed interval."""
-        listener = await listener_in_time(self.settings.listen, self.limits.connections)
+        listener = await listen_with_retries(self.settings.listen, self.limits.connections)
         server = Acceptor(
             listener,
-            streams(self.serve, self.limits.line_bytes),
+            stream_protocols(self.serve, self.limits.line_bytes),
             name="gates",
-            at_once=self.limits.at_once,
+            accept_batch=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
--- a/lapispass/gate/service.py
+++ b/lapispass/gate/service.py
@@ -18,10 +18,10 @@
 from lapispass.gate.tunnel import Tunnel
 from lapispass.gate.uplink import Uplink
 from lapispass.net import call_failures, log, process
-from lapispass.net.acceptor import Acceptor, bound_address, listener_in_time
+from lapispass.net.acceptor import Acceptor, bound_address, listen_with_retries
 from lapispass.net.clock import Clock
 from lapispass.net.counters import Counters
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 from lapispass.operator import read as operator
 from lapispass.operator.read import BadFile, Source
 
@@ -36,7 +36,7 @@
         self.source, self.settings = source, settings.gate
         self.limits = limits or Limits.from_settings(settings.gate)
         self.clock, self.counters = Clock(), Counters()
-        self.log = Part("gate", self.limits.log_every_us)
+        self.log = PartLogger("gate", self.limits.log_every_us)
         self.terms: DrainTerms = operator.drain_terms(settings)
         self.key_parameter = settings.gate.key_parameter
         self.classes = operator.classes(settings)
@@ -114,12 +114,12 @@
     async def run(self) -> None:
         """Serves until `stop()`, then closes all connections in order."""
         loop = asyncio.get_running_loop()
-        listener = await listener_in_time(self.settings.listen, self.limits.backlog)
+        listener = await listen_with_retries(self.settings.listen, self.limits.backlog)
         self.server = Acceptor(
             listener,
             self.make_protocol,
             name="screens",
-            at_once=self.limits.at_once,
+            accept_batch=self.limits.at_once,
             log=self.log,
             counters=self.counters,
         )
@@ -207,7 +207,7 @@
         tick_us = self.limits.tick_us
         while True:
             await asyncio.sleep(tick_us / 1e6)
-            log.write_on()
+            log.flush_pending()
             now = self.clock.now()
             was = self.steering.writable
             for number in self.steering.expire_lease(now):
@@ -255,11 +255,11 @@
 async def serve(path: str | Path, seed: int) -> None:
     """Runs the whole process: signals, the operator file and the gate."""
     gate = Gate(operator.read_at_start(path), seed)
-    process.on_signals(gate.stop, gate.print_counters, gate.reload)
+    process.install_signal_handlers(gate.stop, gate.print_counters, gate.reload)
     await gate.run()
 
 
 def main(path: str | Path, seed: int, lines: logging.Formatter | None = None) -> int:
     """Runs the process and returns its exit status: 0 for an orderly end, 1 for an internal error, 2 for bad
     input."""
-    return process.status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
+    return process.exit_status(serve(path, seed), BadFile, f"{path}: gate.listen", lines)
--- a/lapispass/net/signals.py
+++ b/lapispass/net/signals.py
@@ -1,12 +1,12 @@
-"""Signals: none but SIGTERM and SIGINT ends the process, from its first moment to its last."""
+"""Signal handling: from the first to the last moment, only SIGTERM and SIGINT may end the process."""
 
 import os
 import signal
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-ENDS = {signal.SIGTERM, signal.SIGINT}
-FIXED = ENDS | {signal.SIGKILL, signal.SIGSTOP, signal.SIGCHLD, signal.SIGCONT}
+TERMINATION = {signal.SIGTERM, signal.SIGINT}
+NOT_IGNORED = TERMINATION | {signal.SIGKILL, signal.SIGSTOP, signal.SIGCHLD, signal.SIGCONT}
 FAULTS = {
     signal.SIGSEGV,
     signal.SIGBUS,
@@ -18,27 +18,28 @@
 }
 
 
-def ignore() -> None:
-    """Guards against a signal that comes before its handler stands, or has none: it would end the process.
+def ignore_all() -> None:
+    """Ignores all signals until handlers are installed; SIGTERM and SIGINT exit with status 0.
 
-    Who is told to end while still starting has nothing to bring to an end, and ends in order all the same.
+    Without this, a signal that arrives before its handler is installed, or that has none, would kill the
+    process. A process that is asked to end during its start has nothing to clean up.
     """
-    for number in signal.valid_signals() - FIXED - FAULTS:
+    for number in signal.valid_signals() - NOT_IGNORED - FAULTS:
         signal.signal(number, signal.SIG_IGN)
-    for number in ENDS:
+    for number in TERMINATION:
         signal.signal(number, lambda *_: os._exit(0))
 
 
-def hold() -> None:
-    """Lets no signal through any more: the process is about to end by itself."""
+def block_all() -> None:
+    """Blocks all signals: the process is about to exit by itself."""
     signal.pthread_sigmask(
         signal.SIG_BLOCK, signal.valid_signals() - FAULTS - {signal.SIGKILL, signal.SIGSTOP}
     )
 
 
 @contextmanager
-def kept() -> Iterator[None]:
-    """What signals do, and which are held, stands afterwards as it stood before."""
+def dispositions_restored() -> Iterator[None]:
+    """Restores all signal handlers and the signal mask on exit."""
     held = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     before = {number: signal.getsignal(number) for number in signal.valid_signals() - FAULTS}
     try:
--- a/lapispass/net/slice_report.py
+++ b/lapispass/net/slice_report.py
@@ -7,7 +7,7 @@
 from lapispass.core.handover_state import HandoverState
 from lapispass.core.unserved_slices import UnservedSlices, UnservedSpan
 from lapispass.net.limits import Limits
-from lapispass.net.log import Part
+from lapispass.net.log import PartLogger
 
 
 class SliceReport:
@@ -17,7 +17,7 @@
         self, unserved: UnservedSlices, handover: Callable[[int], HandoverState | None], limits: Limits
     ) -> None:
         self.unserved, self.handover, self.limits = unserved, handover, limits
-        self.log = Part("slices")
+        self.log = PartLogger("slices")
         self.interval_start, self.written = 0, 0
 
     def turn_ended(self, now: int) -> None:
--- a/lapispass/retry.py
+++ b/lapispass/retry.py
@@ -1,4 +1,4 @@
-"""Attempts at a start or a reload that are made again while what made them fail may pass."""
+"""Retries of a start or a reload while it fails with transient errors."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-MayPass = Callable[[Exception], bool]
+IsTransient = Callable[[Exception], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class RetryWindow:
-    """For how long attempts are made again, and the pause between two of them, in seconds."""
+    """How long to retry, and the pause between two attempts, in seconds."""
 
     wait_s: float = 3.0
     pause_s: float = 0.05
@@ -24,39 +24,40 @@
 
 
 class _Attempts(Generic[T]):
-    """Attempts up to the end of a window; between two of them the caller waits."""
+    """Attempts until the end of a window; the caller waits between them."""
 
     result: T
 
-    def __init__(self, attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow) -> None:
-        self.attempt, self.may_pass = attempt, may_pass
+    def __init__(self, attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow) -> None:
+        self.attempt, self.is_transient = attempt, is_transient
         self.until = time.monotonic() + window.wait_s
 
     def succeeded(self) -> bool:
-        """Makes an attempt; raises its error where the window is over or the error is none that may pass."""
+        """Makes an attempt; raises its error if it is not transient or the window is over."""
         try:
             self.result = self.attempt()
         except Exception as error:
-            if not self.may_pass(error) or time.monotonic() >= self.until:
+            if not self.is_transient(error) or time.monotonic() >= self.until:
                 raise
             return False
         return True
 
 
-def retry_blocking(attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow = START) -> T:
-    """What the attempt gives; it blocks between attempts, so it is for a process that does nothing else yet.
+def retry_blocking(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
+    """Returns the result of the first successful attempt.
 
-    Raises the error of the last attempt, at once where it is none that may pass.
+    Blocks between attempts, so it is for a process that does nothing else yet. Raises the error of the last
+    attempt; an error that is not transient is raised at once.
     """
-    attempts = _Attempts(attempt, may_pass, window)
+    attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
         time.sleep(window.pause_s)
     return attempts.result
 
 
-async def retry(attempt: Callable[[], T], may_pass: MayPass, window: RetryWindow = START) -> T:
-    """As `retry_blocking`, on a loop that goes on meanwhile."""
-    attempts = _Attempts(attempt, may_pass, window)
+async def retry(attempt: Callable[[], T], is_transient: IsTransient, window: RetryWindow = START) -> T:
+    """Like `retry_blocking`, without blocking the event loop."""
+    attempts = _Attempts(attempt, is_transient, window)
     while not attempts.succeeded():
         await asyncio.sleep(window.pause_s)
     return attempts.result
--- a/tests/parties.py
+++ b/tests/parties.py
@@ -1,6 +1,7 @@
-"""Stand-ins on loopback from the public pages, and what tests of the network code share.
+"""Loopback servers and fixtures for tests of the network code.
 
-Each forces an order of events by what it holds back, answers or ends.
+The servers follow the platform's published interfaces. A test forces an order of events by what a server
+delays, answers or closes.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from lapispass.net.codec import Codec, Listing
 from lapispass.net.collectors import Collectors
 from lapispass.net.counters import Counters
-from lapispass.net.http import Link
+from lapispass.net.http import HttpConnection
 from lapispass.net.launch import Launch
 from lapispass.net.limits import Limits
 from lapispass.net.registry import Registry
@@ -35,41 +36,41 @@
     connect_us=300 * MS,
     answer_us=60 * MS,
     list_us=200 * MS,
-    watch_quiet_us=250 * MS,
-    news_quiet_us=250 * MS,
-    told_us=150 * MS,
-    picture_us=20 * MS,
+    watch_idle_us=250 * MS,
+    events_idle_us=250 * MS,
+    snapshot_us=150 * MS,
+    snapshot_gap_us=20 * MS,
     probe_us=100 * MS,
-    again_least_us=5 * MS,
-    again_most_us=20 * MS,
+    retry_min_us=5 * MS,
+    retry_max_us=20 * MS,
     late_us=50 * MS,
-    unasked_us=100 * MS,
+    watch_reopen_us=100 * MS,
     join_us=100 * MS,
     message_us=200 * MS,
-    fresh_us=5 * MS,
-    room_us=20 * MS,
+    eviction_grace_us=5 * MS,
+    room_wait_us=20 * MS,
     unread_us=200 * MS,
     linger_us=50 * MS,
     bind_us=60 * MS,
 )
-TOLD = deployment(
+SMALL_DEPLOYMENT = deployment(
     zones=("a", "b"), slices=12, proxies=4, lease_us=150 * MS, linger_us=60 * MS, max_messages=1000
 )
-CODEC = Codec(TOLD, 256)
+CODEC = Codec(SMALL_DEPLOYMENT, 256)
 MEMBER = {"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "phase": "Ready", "size": 1.0}
-NOTHING = Listing(0, False, (), {}, 0)
+EMPTY_LISTING = Listing(0, False, (), {}, 0)
 
 
 class HeldDials:
-    """Dials that wait: to an address in `gates` until its gate opens, and to one in `refused` not at all."""
+    """Delays connects to an address in `gates` until its event is set; refuses those in `refused`."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.gates: dict[str, asyncio.Event] = {}
         self.refused: set[str] = set()
         self.dialed: list[str] = []
-        dial = Link._dial
+        dial = HttpConnection._dial
 
-        async def late(address: str, limits: Limits) -> Link:
+        async def delayed_dial(address: str, limits: Limits) -> HttpConnection:
             self.dialed.append(address)
             if address in self.refused:
                 raise ConnectionRefusedError(address)
@@ -77,16 +78,16 @@
                 await self.gates[address].wait()
             return await dial(address, limits)
 
-        monkeypatch.setattr(Link, "_dial", late)
+        monkeypatch.setattr(HttpConnection, "_dial", delayed_dial)
 
 
-class Party:
-    """A server on loopback; `meet` is the life of a connection, after which it is closed or reset."""
+class LoopbackServer:
+    """A server on loopback. `serve_connection` handles a connection, which is closed or reset afterwards."""
 
-    def __init__(self, meet: Callable[..., Coroutine[Any, Any, Any]]) -> None:
-        self.meet, self.writers, self.tasks = meet, [], []
+    def __init__(self, serve_connection: Callable[..., Coroutine[Any, Any, Any]]) -> None:
+        self.serve_connection, self.writers, self.tasks = serve_connection, [], []
 
-    async def __aenter__(self) -> Party:
+    async def __aenter__(self) -> LoopbackServer:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -101,10 +102,10 @@
         self.writers.append(writer)
         self.tasks.append(asyncio.current_task())
         try:
-            if await self.meet(reader, writer) == "reset":
+            if await self.serve_connection(reader, writer) == "reset":
                 writer.transport.abort()
         except (OSError, EOFError, h11.ProtocolError, asyncio.CancelledError):
-            pass  # it has ended, or was ended by us with the test
+            pass  # the peer closed the connection, or the test has ended
         writer.close()
 
     def reset(self) -> None:
@@ -114,12 +115,12 @@
 
 
 async def silent(reader: asyncio.StreamReader, _: asyncio.StreamWriter) -> None:
-    """A party that reads to the end and says nothing."""
+    """Reads to the end of the stream and sends nothing."""
     await reader.read()
 
 
-async def asked(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes] | None:
-    """A whole request, or None at the end."""
+async def next_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes] | None:
+    """The next complete request, or None at the end of the stream."""
     head, body = None, b""
     while True:
         event = state.next_event()
@@ -135,42 +136,47 @@
             return None
 
 
-async def request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
-    """A whole request; an EOFError where the connection ends before it has asked."""
-    if (told := await asked(reader, state)) is None:
+async def read_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
+    """The next complete request; raises EOFError if the connection ends before it."""
+    if (found := await next_request(reader, state)) is None:
         raise EOFError
-    return told
+    return found
 
 
-def answered(state: h11.Connection, status: int, body: bytes | None) -> bytes:
+def response_bytes(state: h11.Connection, status: int, body: bytes | None) -> bytes:
     length = ("Transfer-Encoding", "chunked") if body is None else ("Content-Length", str(len(body)))
     out = state.send(h11.Response(status_code=status, headers=[length]))
     return out if body is None else out + state.send(h11.Data(data=body)) + state.send(h11.EndOfMessage())
 
 
-class Relay(Party):
-    """Holds the proxies' streams and the store; what goes wrong with the next calls stands in `faults`."""
+class RelayServer(LoopbackServer):
+    """The relay: it has the event streams and the store. `faults` lists the faults of the next calls."""
 
     def __init__(self) -> None:
         super().__init__(self.relay)
         self.faults: deque[str] = deque()
-        self.stands: list[tuple[str, str]] = []
-        self.done: list[str] = []  # orders carried out
+        self.snapshot: list[tuple[str, str]] = []
+        self.orders_done: list[str] = []  # orders that were carried out
         self.calls: list[list[str]] = []
         self.streams: list[tuple[h11.Connection, asyncio.StreamWriter]] = []
-        self.written_after, self.answers, self.signs, self.held = b"", False, True, asyncio.Event()
+        self.written_after, self.acknowledges, self.sends_heartbeats, self.held = (
+            b"",
+            False,
+            True,
+            asyncio.Event(),
+        )
 
     async def relay(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        while (request := await asked(reader, state)) is not None:
+        while (request := await next_request(reader, state)) is not None:
             method, target, body = request
             if (method, target) == ("GET", "/events"):
-                writer.write(answered(state, 200, None))
+                writer.write(response_bytes(state, 200, None))
                 self.streams.append((state, writer))
-                for kind, data in self.standing():
-                    self.say(kind, data, len(self.streams) - 1)
+                for kind, data in self.snapshot_lines():
+                    self.send_event(kind, data, len(self.streams) - 1)
                 while not reader.at_eof():
-                    self.sign(state, writer)
+                    self.send_heartbeat(state, writer)
                     try:
                         self.written_after += await asyncio.wait_for(reader.read(1), 0.1)
                     except TimeoutError:
@@ -180,7 +186,7 @@
             orders = parse_qs(body.decode())["orders"][0].split(";")
             self.calls.append(orders)
             fault = self.faults.popleft() if self.faults else ""
-            if fault == "picky":  # it will not have what names a bad server, in any call
+            if fault == "picky":  # it refuses every call with an order that names a bad server
                 self.faults.append(fault)
             if fault == "held":
                 await self.held.wait()
@@ -188,7 +194,9 @@
                 return await self.end(fault)
             if fault == "throttled" or (fault == "picky" and any("bad" in text for text in orders)):
                 word = "invalid" if fault == "picky" else fault
-                writer.write(answered(state, 400, f"<Response><error>{word}</error></Response>".encode()))
+                writer.write(
+                    response_bytes(state, 400, f"<Response><error>{word}</error></Response>".encode())
+                )
             else:
                 count = int(fault[6:]) if fault.startswith("short") else len(orders)
                 self.carry_out(orders[:count])
@@ -196,14 +204,16 @@
                     return await self.end(fault)
                 count = fault[11:] if fault.startswith("miscounted") else count
                 answer = f"<Response><entries><item><ok_count>{count}</ok_count></item></entries></Response>"
-                writer.write(answered(state, 200, b"<odd" if fault == "unreadable" else answer.encode()))
+                writer.write(
+                    response_bytes(state, 200, b"<odd" if fault == "unreadable" else answer.encode())
+                )
             if fault == "close":
                 return "reset"
             state.start_next_cycle()
         return None
 
-    def sign(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
-        if self.signs:
+    def send_heartbeat(self, state: h11.Connection, writer: asyncio.StreamWriter) -> None:
+        if self.sends_heartbeats:
             writer.write(state.send(h11.Data(data=b":\n")))
 
     async def end(self, fault: str) -> str:
@@ -211,23 +221,23 @@
             await asyncio.sleep(3600)
         return "reset"
 
-    def standing(self) -> list[tuple[str, str]]:
-        return self.stands
+    def snapshot_lines(self) -> list[tuple[str, str]]:
+        return self.snapshot
 
     def carry_out(self, orders: list[str]) -> None:
-        self.done += orders
-        for mark in [text.split(",")[1] for text in orders if text.startswith("SYNC") and self.answers]:
-            for node in [data.partition("&")[0] for kind, data in self.stands if kind == "SUBSCRIBE"]:
-                self.say("ACK", f"{node}&nonce={mark}&latency=5.0")
+        self.orders_done += orders
+        for mark in [text.split(",")[1] for text in orders if text.startswith("SYNC") and self.acknowledges]:
+            for node in [data.partition("&")[0] for kind, data in self.snapshot if kind == "SUBSCRIBE"]:
+                self.send_event("ACK", f"{node}&nonce={mark}&latency=5.0")
 
-    def say(self, kind: str, data: str, stream: int = -1) -> None:
+    def send_event(self, kind: str, data: str, stream: int = -1) -> None:
         state, writer = self.streams[stream]
         writer.write(state.send(h11.Data(data=f"event: {kind}\r\ndata: {data}\r\n\r\n".encode())))
 
 
 @asynccontextmanager
-async def calls_to(relay: Party, limits: Limits = QUICK):
-    """A client of the relay's calls."""
+async def calls_to(relay: LoopbackServer, limits: Limits = QUICK):
+    """A client for calls to the relay."""
     calls = Calls(relay.address, CODEC, limits, Counters())
     try:
         yield calls
@@ -235,14 +245,14 @@
         calls.close()
 
 
-STANDS = [
+SNAPSHOT_LINES = [
     ("SUBSCRIBE", "node=0&locality=a&w=1&cold=1"),
     ("SUBSCRIBE", "node=1&locality=a&w=1&cold=0"),
     ("GRANT", "shard=3&set=1"),
     ("ROW", "shard=3&endpoint=s-1&w=1.0"),
     ("GRANT", "shard=4&set=1"),
 ]
-PICTURE = [
+SNAPSHOT_EVENTS = [
     interface.ProxyJoined(0, True, "a", 1.0),
     interface.ProxyJoined(1, False, "a", 1.0),
     interface.SliceGrant(3, True),
@@ -252,23 +262,23 @@
 
 
 @asynccontextmanager
-async def news_of(relay: Relay):
-    heard: list[interface.Event] = []
-    relay.stands = list(STANDS)
+async def events_of(relay: RelayServer):
+    events: list[interface.Event] = []
+    relay.snapshot = list(SNAPSHOT_LINES)
     calls = Calls(relay.address, CODEC, QUICK, Counters())
-    news = News(relay.address, calls, heard.append, CODEC, QUICK, Counters())
+    news = News(relay.address, calls, events.append, CODEC, QUICK, Counters())
     async with running(news.run()):
-        await until(lambda: len(heard) >= 5)
-        assert heard == PICTURE
-        heard.clear()
+        await until(lambda: len(events) >= 5)
+        assert events == SNAPSHOT_EVENTS
+        events.clear()
         try:
-            yield news, heard
+            yield news, events
         finally:
             calls.close()
 
 
-class Book(Party):
-    """The registry: the whole list, and one behaviour for each watch in turn."""
+class RegistryServer(LoopbackServer):
+    """The registry: it serves the whole list, and each watch in turn by the next of `watches`."""
 
     def __init__(self, *watches: list[bytes | float | int | str]) -> None:
         super().__init__(self.book)
@@ -276,18 +286,18 @@
 
     async def book(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state = h11.Connection(h11.SERVER)
-        _, target, _ = await request(reader, state)
+        _, target, _ = await read_request(reader, state)
         self.targets.append(target)
         if target == "/registry/instances":
-            writer.write(answered(state, 200, json.dumps(listing(9, MEMBER)).encode()))
+            writer.write(response_bytes(state, 200, json.dumps(listing(9, MEMBER)).encode()))
             return None
         steps = self.watches.popleft() if self.watches else [b"\n", 3600.0]
         if steps[0] == 503:
-            writer.write(answered(state, 503, b"busy"))
+            writer.write(response_bytes(state, 503, b"busy"))
             return None
         if steps[0] == "reset":
             return "reset"
-        writer.write(answered(state, 200, None))
+        writer.write(response_bytes(state, 200, None))
         for step in steps:
             if isinstance(step, float):
                 await asyncio.sleep(step)
@@ -302,13 +312,13 @@
 
 
 @asynccontextmanager
-async def following(book: Party, known: Listing = NOTHING, limits: Limits = QUICK):
-    """A registry client that has been asked to follow, and what it tells."""
-    heard: list[interface.Event] = []
-    registry = Registry(book.address, known, heard.append, CODEC, limits, Counters())
+async def following(book: LoopbackServer, known: Listing = EMPTY_LISTING, limits: Limits = QUICK):
+    """A registry client that follows the list, and the events that it has emitted."""
+    events: list[interface.Event] = []
+    registry = Registry(book.address, known, events.append, CODEC, limits, Counters())
     async with running(registry.run()):
         registry.follow()
-        yield registry, heard
+        yield registry, events
 
 
 S1 = interface.RegistryEntry("s-1", "a", "ready", 1.0, None)
@@ -317,29 +327,29 @@
 
 
 JOIN = b"SOURCE locality=a\r\n"
-LINE = b"LOAD locality=a endpoint=s-1 total=2 errors=1 rtt=41.7 interval=1000.0\r\n"
-SPOILT = b"LOAD total=x\r\nSHARD shard=3\r\nLOAD" + LINE[4:].replace(b"=a", b"=1e+30")
-MET = interface.ServerReport("s-1", "a", 1, 2, 41700, 1_000_000, None)
+LOAD_LINE = b"LOAD locality=a endpoint=s-1 total=2 errors=1 rtt=41.7 interval=1000.0\r\n"
+MALFORMED_REPORTS = b"LOAD total=x\r\nSHARD shard=3\r\nLOAD" + LOAD_LINE[4:].replace(b"=a", b"=1e+30")
+LOAD_REPORT = interface.ServerReport("s-1", "a", 1, 2, 41700, 1_000_000, None)
 
 
 @asynccontextmanager
 async def listening(limits: Limits = QUICK):
-    heard: list[interface.Event] = []
-    collectors = Collectors(heard.append, CODEC, limits, Counters())
+    events: list[interface.Event] = []
+    collectors = Collectors(events.append, CODEC, limits, Counters())
     await collectors.listen("127.0.0.1:0")
-    port = collectors.server.sockets[0].getsockname()[1]
+    port = collectors.acceptor.sockets[0].getsockname()[1]
 
     writers: list[asyncio.StreamWriter] = []
 
-    async def connect(said: bytes = JOIN) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    async def connect(first: bytes = JOIN) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writers.append(writer)
-        writer.write(said)
+        writer.write(first)
         return reader, writer
 
     connect.port = port
     try:
-        yield collectors, heard, connect
+        yield collectors, events, connect
     finally:
         collectors.close()
         for writer in writers:
@@ -347,15 +357,15 @@
         await until(lambda: not collectors.tasks)
 
 
-async def rest(reader: asyncio.StreamReader) -> bytes:
-    """What is still said until the connection is closed or reset."""
-    said = b""
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
+    """All bytes until the connection is closed or reset."""
+    received = b""
     try:
-        while piece := await reader.read(100):
-            said += piece
+        while chunk := await reader.read(100):
+            received += chunk
     except OSError:
         pass
-    return said
+    return received
 
 
 def launch(relay: str, registry: str, **changes: Any) -> Launch:
@@ -366,7 +376,7 @@
         relay=relay,
         seed=1,
         known=CODEC.listed(listing(1, *({**MEMBER, "id": f"s-{n}"} for n in (1, 2)))),
-        told=replace(TOLD, probes_allowed=False, subscribes_to_registry=True),
+        told=replace(SMALL_DEPLOYMENT, probes_allowed=False, subscribes_to_registry=True),
         limits=QUICK,
     )
     return Launch(**{**values, **changes})
--- a/tests/rule_world.py
+++ b/tests/rule_world.py
@@ -8,7 +8,7 @@
 
 import h11
 from configurations import listing
-from parties import MEMBER, TOLD, Party, Relay, answered, request, until
+from parties import MEMBER, SMALL_DEPLOYMENT, LoopbackServer, RelayServer, read_request, response_bytes, until
 
 RELAY_FAULTS = ("reset before", "reset after", "silent after", "unreadable", "close", "throttled")
 
@@ -23,7 +23,7 @@
         self.out: set[str] = set()
 
 
-class World(Relay):
+class World(RelayServer):
     """A relay with proxies that apply orders late but in order, and whose streams end and come back.
 
     Rule 2 is checked for each slice on the tables that the proxies route writes by.
@@ -40,7 +40,7 @@
         for node in range(proxies):
             self.join(node)
 
-    def standing(self) -> list[tuple[str, str]]:
+    def snapshot_lines(self) -> list[tuple[str, str]]:
         events = [
             ("SUBSCRIBE", f"node={n}&locality=a&w=1&cold=0") for n, p in enumerate(self.proxies) if p.joined
         ]
@@ -51,7 +51,7 @@
 
     def tell(self, kind: str, data: str) -> None:
         if self.streams and not self.streams[-1][1].is_closing():
-            self.say(kind, data)
+            self.send_event(kind, data)
 
     def join(self, node: int) -> None:
         proxy = self.proxies[node]
@@ -72,7 +72,7 @@
             self.join(node)
 
     def carry_out(self, orders: list[str]) -> None:
-        self.done += orders
+        self.orders_done += orders
         for text in orders:
             self.moves += text.startswith("SET")
             changed(self.store, set(), text)
@@ -96,15 +96,15 @@
         """Checks rule 2: writes of a slice go to one owner, and none while an earlier one may hold some."""
         now = self.loop.time()
         for proxy in self.proxies:
-            may_send_until = now if proxy.joined else min(now, proxy.broken_at + TOLD.lease_us / 1e6)
+            send_until = now if proxy.joined else min(now, proxy.broken_at + SMALL_DEPLOYMENT.lease_us / 1e6)
             for number, (owner, admitted) in proxy.tables.items():
                 if owner and admitted and owner not in proxy.out:
-                    self.last[number, owner] = max(self.last.get((number, owner), 0), may_send_until)
+                    self.last[number, owner] = max(self.last.get((number, owner), 0), send_until)
         for number in self.store:
             recent = [
                 owner
                 for (n, owner), at in self.last.items()
-                if n == number and at > now - TOLD.linger_us / 1e6
+                if n == number and at > now - SMALL_DEPLOYMENT.linger_us / 1e6
             ]
             if len(recent) > 1:
                 self.broken.append(f"slice {number} has writes at several owners: {recent}")
@@ -128,7 +128,7 @@
     return ""
 
 
-class Roll(Party):
+class Roll(LoopbackServer):
     """A registry that always sends snapshots, whatever version a watch asks for."""
 
     def __init__(self) -> None:
@@ -139,8 +139,8 @@
 
     async def roll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> str | None:
         state, sent = h11.Connection(h11.SERVER), 0
-        await request(reader, state)
-        writer.write(answered(state, 200, None))
+        await read_request(reader, state)
+        writer.write(response_bytes(state, 200, None))
         while not writer.is_closing():
             text = json.dumps(listing(self.version, *self.members.values())) if sent != self.version else ""
             sent = self.version
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from parties import Party
+from parties import LoopbackServer
 from support_gate import MS, SHORT_LIMITS, StandaloneGate, standalone_gate, take_upgrade, until
 from websockets.asyncio.client import connect
 from websockets.exceptions import ConnectionClosed, InvalidStatus
@@ -324,7 +324,7 @@
             await board.close()
 
 
-def node_at(party: Party) -> CounterNode:
+def node_at(party: LoopbackServer) -> CounterNode:
     """A node entry with the address of a scripted peer."""
     node = CounterNode("n0")
     node.address = party.address
@@ -349,7 +349,7 @@
             await asyncio.sleep(5)  # never answers
         writer.write(answer or b"")
 
-    async with Party(serve) as node, standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env:
+    async with LoopbackServer(serve) as node, standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env:
         response = await asyncio.wait_for(exchange(env, UPGRADE), 2)
         assert response.startswith("HTTP/1.1 503") and "Retry-After" in response
         assert not env.gate.steering.opening
@@ -370,7 +370,7 @@
             await behave(reader, writer)
 
         async with (
-            Party(serve) as node,
+            LoopbackServer(serve) as node,
             standalone_gate(tmp_path, nodes={"n0": node_at(node)}) as env,
             connect(env.url("/till?key=a")) as till,
         ):
--- a/tests/test_gate_answers.py
+++ b/tests/test_gate_answers.py
@@ -8,8 +8,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-from faulty_process import SHORT, Call, Faults, free_address, names, process
-from parties import Party
+from faulty_process import SHORT, Call, Faults, errno_name, free_address, process
+from parties import LoopbackServer
 from support_gate import SHORT_LIMITS, standalone_gate
 
 UPGRADE = (
@@ -41,7 +41,7 @@
     # Upgrades under way were once cut three seconds after the stop, without an answer.
     faults, address = Faults(tmp_path / "faults"), free_address()
     file = tmp_path / "operator.textproto"
-    async with Party(silent) as node:
+    async with LoopbackServer(silent) as node:
         file.write_text(FILE.format(listen="{}:{}".format(*address), node=node.address))
         async with process(("gate", "-o", str(file)), faults, address, "event=listening", {}) as gate:
             reader, writer = await gate.connect()
@@ -51,7 +51,7 @@
             answer = await read_to_end(reader)
             writer.close()
             assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After-Ms:" in answer
-            assert await gate.ended() == 0
+            assert await gate.wait_for_exit() == 0
 
 
 async def test_refusals_are_whole_where_writes_are_short_and_the_client_has_ended_its_side(
@@ -70,7 +70,7 @@
                 writer.write_eof()
                 answer = await read_to_end(reader)
                 if not answer.startswith(b"HTTP/1.1 " + status) or not answer.endswith(b"\n"):
-                    bad[names(error), status] = answer
+                    bad[errno_name(error), status] = answer
                 faults.clear(Call.SEND)
                 writer.close()
     assert not bad
