--- a/lapispass/core/resend_set.py
+++ b/lapispass/core/resend_set.py
@@ -36,7 +36,7 @@
     def discard(self, server: Server) -> None:
         """The server's state was sent, or need not be sent."""
         self._servers.discard(server.number)
-        if server.place > self._above_index:
+        if server.index > self._above_index:
             self._sent.add(server.number)
 
     def forget(self, number: BackendId) -> None:
@@ -47,7 +47,7 @@
     def has(self, server: Server) -> bool:
         """Whether the server's state must be sent again."""
         number = server.number
-        return number in self._servers or (server.place > self._above_index and number not in self._sent)
+        return number in self._servers or (server.index > self._above_index and number not in self._sent)
 
     def __len__(self) -> int:
         return len(self._servers) + len(self._sent)
