--- a/lapispass/core/slice_policy.py
+++ b/lapispass/core/slice_policy.py
@@ -5,9 +5,9 @@
 from typing import Generic, TypeVar
 
 from lapispass.core.fleet_index import AnyServer, FleetIndex
-from lapispass.core.shut_out import ShutOut
 from lapispass.core.slices import SliceIndex
 from lapispass.core.turn import Turn
+from lapispass.core.withdrawn import WithdrawnServers
 
 RulesType = TypeVar("RulesType")
 
@@ -21,7 +21,7 @@
         rules: RulesType,
         fleet: FleetIndex[AnyServer],
         slice_index: SliceIndex,
-        shut_out: ShutOut,
+        shut_out: WithdrawnServers,
     ) -> None:
         self.turn, self.rules, self.fleet, self.slice_index = turn, rules, fleet, slice_index
         self.shut_out = shut_out
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -19,8 +19,8 @@
 from lapispass import interface
 from lapispass.core.tables import slice_of
 from lapispass.operator import read as operator
-from lapispass.rules.five import Bounds, Checker
-from lapispass.rules.held import Breach
+from lapispass.rules.checker import Bounds, Checker
+from lapispass.rules.checks import Breach
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
 from lapispass.store.assignments import Assignments
@@ -119,7 +119,8 @@
         self.chance, self.folder, self.duration = random.Random(seed), folder, duration
         self.verdict = RunResult(seed, [])
         self.checker = Checker(
-            Bounds(bare_us=UNSERVED_MS * 1000, grace_us=GRACE_MS * 1000), lambda key: slice_of(key, SLICES)
+            Bounds(unserved_us=UNSERVED_MS * 1000, drain_grace_us=GRACE_MS * 1000),
+            lambda key: slice_of(key, SLICES),
         )
         self.checked = 0
         self.states = {f"n{index}": "READY" for index in range(NODES)}
@@ -146,7 +147,7 @@
             for order in orders:
                 if isinstance(order, interface.SetTableEntry | interface.ClearTable):
                     owner = str(order.backend) if isinstance(order, interface.SetTableEntry) else None
-                    self.checker.publish(clock_us(), order.table, owner)
+                    self.checker.step_published(clock_us(), order.table, owner)
                     self.verdict.handovers += owner is not None
             turned(events, orders)
 
@@ -174,7 +175,7 @@
         store.commit([interface.SetTableEntry(number, f"n{number % NODES}", 1.0) for number in range(SLICES)])
         store.close()
         for number in range(SLICES):
-            self.checker.publish(0, number, f"n{number % NODES}")
+            self.checker.step_published(0, number, f"n{number % NODES}")
         await self.start()
         for index in range(6):
             faults = Faults(slow_s=0.06 if index == 1 else 0.0)
@@ -195,7 +196,7 @@
         clock = asyncio.get_running_loop().time
         started_at = clock()
         try:
-            while not self.duration.is_over(clock() - started_at, verdict, len(self.checker.carried)):
+            while not self.duration.is_over(clock() - started_at, verdict, len(self.checker.executed)):
                 await asyncio.sleep(chance.uniform(0.02, 0.15))
                 await self.inject_fault()
             self.thaw()
@@ -210,9 +211,9 @@
             self.host.stop()
             await asyncio.gather(self.running, return_exceptions=True)
         self.check()
-        verdict.writes = len(self.checker.carried)
+        verdict.writes = len(self.checker.executed)
         verdict.worst_bare_us, verdict.worst_drain_us = (
-            self.checker.worst_bare_us,
+            self.checker.worst_unserved_us,
             self.checker.worst_drain_us,
         )
         verdict.versions = sum(client.updates for client in self.clients)
@@ -236,7 +237,7 @@
                 elif self.states[name] != "READY":
                     self.states[name] = "READY"
                     self.started[name] = self.host.clock.now() // 1000
-                self.checker.drains(clock_us(), name, self.states[name] != "READY")
+                self.checker.set_draining(clock_us(), name, self.states[name] != "READY")
                 self.file.write_text(operator_file(self.states, "store", self.started))
                 self.host.read_again()
             case "freeze":
@@ -287,7 +288,7 @@
         await asyncio.sleep(self.chance.uniform(0, WRITE_LIFETIME_MS * 0.8) / 1000)
         if clock_us() - sent > WRITE_LIFETIME_MS * 1000:
             return
-        self.checker.carry(clock_us(), node, key, number)
+        self.checker.write_executed(clock_us(), node, key, number)
 
     async def sample_clients(self) -> None:
         """Checks the picks of clients without faults (rules 1 and 3) and what waits for them (rule 5)."""
@@ -302,7 +303,7 @@
                     or connected is None
                     or not connected[0].watches
                 ):
-                    self.checker.parted(client.name)
+                    self.checker.party_left(client.name)
                     continue
                 joined = now - (self.host.clock.now() - connected[0].started_at)
                 joined = max(joined, self.thawed_at.get(client.name, 0))
@@ -313,13 +314,13 @@
                     for watch in connected[0].watches.values()
                     if watch.in_flight
                 )
-                self.checker.waiting(now, client.name, waiting)
+                self.checker.queued(now, client.name, waiting)
 
     def check(self, client: XdsClient | None = None) -> None:
         """Checks all rules on everything recorded so far, until the first breach; keeps its events."""
-        if self.verdict.breaches or (client is not None and len(self.checker.carried) == self.checked):
+        if self.verdict.breaches or (client is not None and len(self.checker.executed) == self.checked):
             return
-        self.checked = len(self.checker.carried)
+        self.checked = len(self.checker.executed)
         self.verdict.breaches = self.checker.verdict()
         if self.verdict.breaches:
             self.verdict.log.extend(self.checker.events)
--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 
 from lapispass.core.tables import slice_of
-from lapispass.rules.five import Bounds, Checker
-from lapispass.rules.held import Breach
+from lapispass.rules.checker import Bounds, Checker
+from lapispass.rules.checks import Breach
 from lapispass.standins.coordination import CoordinationServer
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import Faults, XdsClient
@@ -115,7 +115,7 @@
                 self.epochs[number] = record["epoch"]
                 if self.owners.get(number, "") != record["owner"]:
                     self.owners[number] = record["owner"]
-                    self.checker.publish(now, number, record["owner"])
+                    self.checker.step_published(now, number, record["owner"])
                     self.verdict.counts["handovers"] += record["owner"] is not None
 
         return put_and_check
@@ -155,8 +155,8 @@
                 process.wait()
             self.service.stop()
         self.verdict.breaches = self.checker.verdict()
-        self.verdict.counts["writes"] = len(self.checker.carried)
-        self.verdict.worst_bare_us = self.checker.worst_bare_us
+        self.verdict.counts["writes"] = len(self.checker.executed)
+        self.verdict.worst_bare_us = self.checker.worst_unserved_us
         self.verdict.events = list(self.checker.events)
         return self.verdict
 
@@ -256,7 +256,7 @@
         sent = clock_us()
         await asyncio.sleep(self.chance.uniform(0, WRITE_LIFETIME_MS * 0.8) / 1000)
         if clock_us() - sent <= WRITE_LIFETIME_MS * 1000:
-            self.checker.carry(clock_us(), node, key, number)
+            self.checker.write_executed(clock_us(), node, key, number)
 
     async def sample_clients(self) -> None:
         """Checks rule 1 at the clients that have a stream and all tables."""
@@ -265,7 +265,7 @@
             now = clock_us()
             for client in self.clients:
                 if client.stream is None or client.faults.slow_eds_s or len(client.endpoints) < 2 * SLICES:
-                    self.checker.parted(client.name)
+                    self.checker.party_left(client.name)
                     continue
                 for number in range(SLICES):
                     self.checker.pick(now, client.name, number, client.reads_from(number))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -36,7 +36,7 @@
     RevisionCompacted,
 )
 from lapispass.peers.host import SharedHost
-from lapispass.rules.held import Carried, Published, writes
+from lapispass.rules.checks import ExecutedWrite, PublishedStep, check_writes
 from lapispass.standins.coordination import CoordinationServer
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.xds_client import XdsClient
@@ -402,8 +402,8 @@
 async def test_no_block_has_two_writers_while_controllers_are_killed(tmp_path: Path) -> None:
     """`lapispass lab peers` can run this for ten minutes, also with pauses."""
     chance = random.Random(3)
-    published: list[Published] = []
-    carried: list[Carried] = []
+    published: list[PublishedStep] = []
+    carried: list[ExecutedWrite] = []
 
     def record_published(host: SharedHost) -> None:
         publish_changes = host.publish_changes
@@ -412,14 +412,14 @@
             if barrier is not None:
                 for change in changes:
                     if hasattr(change, "owner"):
-                        published.append(Published(clock_us(), change.slice, change.owner))
+                        published.append(PublishedStep(clock_us(), change.slice, change.owner))
             publish_changes(changes, barrier)
 
         host.publish_changes = publish_and_record  # type: ignore[method-assign]
 
     async with running_fleet(tmp_path, "a", "b") as fleet:
         for number, owner in fleet.hosts["a"].snapshot.owners.items():
-            published.append(Published(0, number, owner))
+            published.append(PublishedStep(0, number, owner))
         for host in fleet.hosts.values():
             record_published(host)
         clients = [
@@ -437,7 +437,7 @@
                 client, key = chance.choice(clients), f"k{chance.randrange(30)}"
                 if node := client.writes_to(slice_of(key, 12)):
                     sent += 1
-                    carried.append(Carried(clock_us(), node, key, str(sent)))
+                    carried.append(ExecutedWrite(clock_us(), node, key, str(sent)))
             victim = chance.choice(sorted(fleet.hosts))
             await fleet.kill(victim)
             record_published(await fleet.start(victim))
@@ -446,4 +446,4 @@
                 client.drop()
         await until(fleet.is_complete, 15)
         await ended(*running)
-        assert sent > 50 and writes(carried, published, lambda key: slice_of(key, 12)) == []
+        assert sent > 50 and check_writes(carried, published, lambda key: slice_of(key, 12)) == []
