--- a/lapispass/net/service.py
+++ b/lapispass/net/service.py
@@ -59,7 +59,7 @@
         self.figures = IntervalFigures(self.limits.late_us, launch.deployment.unserved_limit_us // 2)
         self.collectors = Collectors(self.deliver, *common, self.figures)
         self.controller = Controller(launch.deployment, launch.seed, self.clock.now())
-        self.slice_report = SliceReport(self.figures.lines, self.controller.handover, self.limits)
+        self.slice_report = SliceReport(self.figures.unserved, self.controller.handover, self.limits)
         self.additional_fronts: list[AdditionalFront] = []
 
     def deliver(self, event: interface.Event) -> None:
@@ -211,7 +211,7 @@
             self.figures.event(now, event)
         for order in orders:
             self.figures.order(now, order)
-        self.slice_report.turned(now)
+        self.slice_report.turn_ended(now)
 
     def log_delays(self, began: int) -> None:
         """Logs slow turns and steps of the wall clock, which a reader of the log needs to know.
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -75,7 +75,7 @@
         moving = self.slice_index.moving()
         granted_empty = [slice_ for slice_ in moving if slice_.barrier == NEVER]
         room, deferrable_room = budget.lines - len(orders), budget.deferrable_lines - len(orders)
-        cleared = self.channel.proxies.cleared(now) if moving else NEVER
+        cleared = self.channel.proxies.passed_by_all(now) if moving else NEVER
         for slice_ in moving:
             slice_.barrier = min(slice_.barrier, budget.barrier)  # has none if granted with an empty table
             if room > 0 and (step := self.advance(slice_, cleared)):
@@ -119,7 +119,7 @@
         urgent = [s for owner in closed for s in by_owner[owner].values() if self.may_leave(s)]
         # The slices of the owner that was withdrawn first come first. Otherwise larger slices of owners
         # withdrawn later would overtake a small one, which would stay unserved for too long.
-        out = self.shut_out.out
+        out = self.shut_out.withdrawn
         urgent.sort(key=lambda s: (out.get(s.owner, now) if s.owner is not None else now, -s.rate, s.serial))
         if not self.placement.any_open():
             return []
@@ -148,10 +148,10 @@
         """Since when the slice may have been unserved: its owner is withdrawn, or it has none."""
         if slice_.owner is None:
             return slice_.unserved_since
-        shut_out_at = self.shut_out.out.get(slice_.owner, self.turn.now)
+        shut_out_at = self.shut_out.withdrawn.get(slice_.owner, self.turn.now)
         # Until all proxies have acknowledged the new owner, one may receive it together with its withdrawal:
         # that proxy has been without a backend all the time.
-        is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.out
+        is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.withdrawn
         return slice_.unserved_since if is_unknown else max(slice_.unserved_since, shut_out_at)
 
     def is_urgent(self, slice_: Slice) -> bool:
--- a/lapispass/policy/health.py
+++ b/lapispass/policy/health.py
@@ -90,7 +90,7 @@
         if traffic is None or tries < NEGLIGIBLE:
             self.completed_per_s, self.succeeding, self.next_reading_at = 0.0, False, NEVER
         else:
-            self.completed_per_s, done = traffic.done.per_second(now), traffic.done.read(now)
+            self.completed_per_s, done = traffic.succeeded.per_second(now), traffic.succeeded.read(now)
             self.succeeding, self.next_reading_at = (
                 done > max(2, 0.5 * tries),
                 now + self.rules.update_interval_us,
@@ -153,8 +153,8 @@
         traffic = self.traffic or Traffic(HALF_LIFE_US, now)
         tries, done, total_latency_us = (
             traffic.tries.read(now),
-            traffic.done.read(now),
-            traffic.spent.read(now),
+            traffic.succeeded.read(now),
+            traffic.time_us.read(now),
         )
         failed, mean_latency_us = tries - done, total_latency_us / max(0.1, done)
         if self.health != "healthy":
@@ -185,7 +185,9 @@
         elif now - self.admitted_share_at > rules.feedback_delay_us and tries > 2:
             self.admitted_share_at = now
             self.update_admitted_share(
-                failed / max(8, tries), mean_latency_us / rules.mean_deadline_us, traffic.done.per_second(now)
+                failed / max(8, tries),
+                mean_latency_us / rules.mean_deadline_us,
+                traffic.succeeded.per_second(now),
             )
 
     def update_admitted_share(self, failed_share: float, slowness: float, completed_per_s: float) -> None:
--- a/lapispass/policy/withdrawals.py
+++ b/lapispass/policy/withdrawals.py
@@ -22,7 +22,7 @@
 
     def to_repeat(self) -> list[Backend]:
         """Owners that are not withdrawn, but which proxies that joined may still keep withdrawn."""
-        out, again = self.shut_out.out, self.shut_out.again
+        out, again = self.shut_out.withdrawn, self.shut_out.to_resend
         owners = self.fleet.in_order(self.slice_index.by_owner)
         return [server for server in owners if server.number not in out and again.has(server)]
 
@@ -32,13 +32,13 @@
         self.postpone_repeats()
         # Repeats are spread over time, over a part of what rule 1 allows. They were once sent for all servers
         # together, every 2 s while proxies joined, and the next withdrawals had to wait behind them.
-        if now >= self.next_repeat_at and not shut_out.repeats and (again := self.to_repeat()):
-            shut_out.repeat(again)
+        if now >= self.next_repeat_at and not shut_out.resending and (again := self.to_repeat()):
+            shut_out.start_resend(again)
             self.next_repeat_at = now + self.rules.unserved_limit_us // 8
         withdrawn_owners = [number for number in self.fleet.draining if number in self.slice_index.by_owner]
         orders: list[interface.Order] = []
         room, self.has_more = budget.deferrable_lines // 2, False
-        for server in self.fleet.in_order({*withdrawn_owners, *shut_out.out, *shut_out.repeats}):
+        for server in self.fleet.in_order({*withdrawn_owners, *shut_out.withdrawn, *shut_out.resending}):
             out, number = server.state == "draining", server.number
             if not self.needs_order(server, room):
                 continue
@@ -46,11 +46,11 @@
             if len(orders) >= budget.lines:
                 self.has_more = True
                 break
-            room -= not out and number not in shut_out.out
-            if shut_out.say(server, out, budget.barrier, now):
+            room -= not out and number not in shut_out.withdrawn
+            if shut_out.record_sent(server, out, budget.barrier, now):
                 self.turn.updated_servers.add(number)  # it may be forgotten from now on
             orders.append(interface.SetWithdrawn(number, out))
-        shut_out.repeats -= shut_out.out.keys()
+        shut_out.resending -= shut_out.withdrawn.keys()
         return orders
 
     def postpone_repeats(self) -> None:
@@ -58,7 +58,7 @@
 
         The next repeats wait for the pending ones, and such a server would hold them up.
         """
-        for server in self.fleet.in_order(self.shut_out.repeats):
+        for server in self.fleet.in_order(self.shut_out.resending):
             if server.state == "draining" and server.number not in self.slice_index.by_owner:
                 self.shut_out.postpone(server.number)
 
@@ -67,12 +67,12 @@
         number, shut_out = server.number, self.shut_out
         if server.state == "draining":
             return number in self.slice_index.by_owner and (
-                number not in shut_out.out or shut_out.again.has(server)
+                number not in shut_out.withdrawn or shut_out.to_resend.has(server)
             )
-        return number in shut_out.out or (number in shut_out.repeats and room > 0)
+        return number in shut_out.withdrawn or (number in shut_out.resending and room > 0)
 
     def next_due(self) -> int:
         """When more orders are due without an event."""
-        if self.has_more or self.shut_out.repeats:
+        if self.has_more or self.shut_out.resending:
             return self.turn.now
         return self.next_repeat_at if self.to_repeat() else NEVER
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -70,7 +70,7 @@
     )
     heard += [CODEC.parse_event(kind, data) for kind, data in EVENTS]
     heard = [event._replace(backend=7) if hasattr(event, "backend") else event for event in heard]
-    assert heard == [event for _, event in batch.news]
+    assert heard == [event for _, event in batch.events]
 
 
 def test_load_reports_are_in_the_order_of_the_deployment() -> None:
@@ -255,7 +255,7 @@
     controller = Controller(deployment(slices=1, proxies=1), 1, 0)
     controller.turn(0, [interface.ProxyJoined(0, True, "a", 1.0), interface.SliceGrant(0, True)])
     controller.turn(1, [now.parse_event("ACK", f"node=0&nonce={late}&latency=1")])
-    assert controller.channel.proxies.joined[0].answered < 0
+    assert controller.channel.proxies.joined[0].acknowledged < 0
 
 
 def test_the_same_events_give_the_same_orders_through_both_fronts() -> None:
@@ -348,7 +348,7 @@
                         codec.parse_event("ACK", f"node={node}&nonce={nonce}&latency=50.0"),
                     )
         (batch,) = read_batches(io.StringIO("\n".join((f"SYNC\t{now}\t{number}", *lines, "EOF_BATCH", ""))))
-        orders = there.turn(now, [event for _, event in batch.news])
+        orders = there.turn(now, [event for _, event in batch.events])
         mine = here.turn(now, events)
         assert [
             order if not hasattr(order, "backend") else order._replace(backend=f"s-{order.backend}")
