--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -64,7 +64,7 @@
 from lapispass.peers.host import SharedHost
 from lapispass.standins import fleet_parties
 from lapispass.standins.coordination import Coordination
-from lapispass.standins.party import answer, asked
+from lapispass.standins.stream_server import encode_response, read_request
 from lapispass.xds import codec
 
 SERVERS = (200, 1000, 2850, 5700)
@@ -398,7 +398,7 @@
             piece = await reader.read(65536)
             counted["in"] += len(piece)
             state.receive_data(piece)
-        said = answer(state, 200, "inflight=7,util=0.61")
+        said = encode_response(state, 200, "inflight=7,util=0.61")
         counted["out"] += len(said)
         writer.write(said)
         await writer.drain()
@@ -675,8 +675,8 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
-        await asked(reader, state)
-        writer.write(answer(state, 200, None) + (state.send(h11.Data(data=body + b"\n")) or b""))
+        await read_request(reader, state)
+        writer.write(encode_response(state, 200, None) + (state.send(h11.Data(data=body + b"\n")) or b""))
         try:
             await reader.read()
         except OSError:
--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -29,9 +29,9 @@
 
 from websockets.asyncio.client import connect
 
-from lapispass.standins.nodes import CounterNode, Strength, clock_us
+from lapispass.standins.held_client import HeldClient
+from lapispass.standins.nodes import Capacity, CounterNode, clock_us
 from lapispass.standins.platform import Member, Registry, Relay
-from lapispass.standins.screens import Screen
 
 SLICES = 60
 SETTINGS = {
@@ -48,7 +48,7 @@
 }  # fmt: skip
 
 
-def nodes_process(pipe: Connection, names: list[str], strength: Strength) -> None:
+def nodes_process(pipe: Connection, names: list[str], strength: Capacity) -> None:
     """Counter nodes, told by the pipe: a name starts that node cold, 'figures' asks for what they saw."""
 
     async def life() -> None:
@@ -58,7 +58,7 @@
         while (asked := await loop.run_in_executor(None, pipe.recv)) != "end":
             if asked == "figures":
                 pipe.send({name: {"held": len(node.held), "peak": node.peak, "peak_new": node.peak_new,
-                                  "peak_held": node.peak_held, "fell": bool(node.fell_at),
+                                  "peak_held": node.peak_held, "fell": bool(node.overloaded_at),
                                   "ends": [(end.at_us, end.code) for end in node.ends]}
                            for name, node in nodes.items()})  # fmt: skip
             elif asked == "counts":
@@ -74,7 +74,7 @@
     """Screens; one in five is a till that writes now and then."""
 
     async def life() -> None:
-        screens = [Screen(f"{url}/till?key=k{seed}-{n}" if n % 5 == 0 else f"{url}/board", f"s{seed}-{n}",
+        screens = [HeldClient(f"{url}/till?key=k{seed}-{n}" if n % 5 == 0 else f"{url}/board", f"s{seed}-{n}",
                           seed * 100_000 + n, f"k{seed}-{n}", 5.0 if n % 5 == 0 else 0.0)
                    for n in range(count)]  # fmt: skip
         tasks = []
@@ -131,7 +131,7 @@
 
 async def main(told: argparse.Namespace) -> None:
     folder = Path(tempfile.mkdtemp())
-    strength = Strength(
+    strength = Capacity(
         connections=told.connections, new_per_s=told.new_per_s, cold_us=10_000_000, cold_share=0.2
     )
     names = [f"n{number}" for number in range(told.nodes)]
--- a/benchmarks/xds_streams.py
+++ b/benchmarks/xds_streams.py
@@ -85,7 +85,9 @@
         await asyncio.sleep(0.01)
     before_kb = rss_kb()
     clients = [
-        XdsClient(host.xds_server.address, f"c{n}", told.seed + n, n % 2 == 0, faults=Faults(wait_s=0.2))
+        XdsClient(
+            host.xds_server.address, f"c{n}", told.seed + n, n % 2 == 0, faults=Faults(reconnect_delay_s=0.2)
+        )
         for n in range(told.clients)
     ]
     lives = [asyncio.create_task(client.run()) for client in clients]
--- a/examples/gate.py
+++ b/examples/gate.py
@@ -14,15 +14,15 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent))
 
+from lapispass.standins.held_client import HeldClient
 from lapispass.standins.nodes import CounterNode
-from lapispass.standins.screens import Screen
 
 
 async def main() -> None:
     nodes = [await CounterNode(f"n{number}", tick_s=1).start(7410 + number) for number in range(3)]
     screens = [
-        Screen("ws://127.0.0.1:7400/board", "board", 1),
-        Screen("ws://127.0.0.1:7400/till?key=till-1", "till", 2, "till-1", 2.0),
+        HeldClient("ws://127.0.0.1:7400/board", "board", 1),
+        HeldClient("ws://127.0.0.1:7400/till?key=till-1", "till", 2, "till-1", 2.0),
     ]
     running = [asyncio.create_task(screen.run()) for screen in screens]
     print("nodes are up; start the gate")
@@ -30,7 +30,7 @@
         await asyncio.sleep(1)
         held = {node.name: len(node.held) for node in nodes}
         closed = [(end.code, end.reason) for screen in screens for end in screen.ends][-2:]
-        seen, written = screens[0].got[-1:], len(screens[1].answered)
+        seen, written = screens[0].received[-1:], len(screens[1].answered)
         print("held:", held, "board saw:", seen, "till wrote:", written, "closed:", closed)
 
 
--- a/lapispass/lab/drops.py
+++ b/lapispass/lab/drops.py
@@ -48,18 +48,18 @@
 
 
 FAULTS = [
-    Faults(silent=True),
-    Faults(deaf=True),
-    Faults(refuses=True),
-    Faults(refuses_applied=True),
-    Faults(twice=True),
-    Faults(wrong=True),
-    Faults(late_s=0.2),
-    Faults(late_s=0.6),
+    Faults(never_acks=True),
+    Faults(ignores_responses=True),
+    Faults(rejects_eds=True),
+    Faults(rejects_applied_eds=True),
+    Faults(acks_twice=True),
+    Faults(sends_wrong_nonce=True),
+    Faults(ack_delay_s=0.2),
+    Faults(ack_delay_s=0.6),
     Faults(ttl=False),
-    Faults(slow_s=0.3),
-    Faults(slow_s=0.8),
-    Faults(slow_eds_s=0.7),
+    Faults(read_delay_s=0.3),
+    Faults(read_delay_s=0.8),
+    Faults(eds_read_delay_s=0.7),
 ]
 
 
@@ -178,15 +178,15 @@
             self.checker.publish(0, number, f"n{number % NODES}")
         await self.start()
         for place in range(6):
-            faults = Faults(slow_s=0.06 if place == 1 else 0.0)
+            faults = Faults(read_delay_s=0.06 if place == 1 else 0.0)
             if place >= 4:
                 faults = chance.choice(FAULTS)
             elif place == 2:
-                faults = Faults(slow_eds_s=chance.choice([0.0, 0.5, 0.9]))
+                faults = Faults(eds_read_delay_s=chance.choice([0.0, 0.5, 0.9]))
             client = XdsClient(
                 self.address, f"c{place}", verdict.seed * 10 + place, place % 3 != 2, faults=faults
             )
-            client.applied = self.check
+            client.on_applied = self.check
             self.clients.append(client)
         lives = [asyncio.create_task(client.run()) for client in self.clients]
         writing, sampling = asyncio.create_task(self.write()), asyncio.create_task(self.sample())
--- a/lapispass/lab/fleet.py
+++ b/lapispass/lab/fleet.py
@@ -48,7 +48,7 @@
 def roll(world: World, tell: Callable[[str], None]) -> None:
     """A part of the servers is replaced in steps; some come back under their ids."""
     chance = world.chance
-    leaving = chance.sample(sorted(world.list), len(world.list) // 2)
+    leaving = chance.sample(sorted(world.registry_entries), len(world.registry_entries) // 2)
     tell(f"{len(leaving)} servers are replaced in steps")
     for position, name in enumerate(leaving):
         back, drain_s = chance.random() < 0.2, chance.uniform(3, 6)
@@ -178,7 +178,7 @@
     tell(f"a server is replaced each {every_s:.1f} s all day")
 
     def replace() -> None:
-        ready = [name for name, entry in world.list.items() if entry.state == "ready"]
+        ready = [name for name, entry in world.registry_entries.items() if entry.state == "ready"]
         if len(ready) > len(world.servers) // 3:
             drain_s, back = chance.uniform(3, 6), chance.random() < 0.2
             world.replace(chance.choice(ready), drain_s, back)
--- a/lapispass/lab/scale/messages.py
+++ b/lapispass/lab/scale/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from lapispass.standins.hollow import Pace
 from lapispass.standins.http import Traffic
+from lapispass.standins.placeholder import Pace
 from lapispass.standins.platform import Member
 from lapispass.standins.servers import Probed
 
--- a/lapispass/lab/scale/rig.py
+++ b/lapispass/lab/scale/rig.py
@@ -21,7 +21,7 @@
 )
 from lapispass.lab.scale.samples import HOLLOW, Sample, mean_pace
 from lapispass.lab.scale.size import CLASSES, Bounds, Size
-from lapispass.standins.hollow import Pace
+from lapispass.standins.placeholder import Pace
 from lapispass.standins.platform import Member
 from lapispass.standins.servers import Probed
 
--- a/lapispass/lab/scale/samples.py
+++ b/lapispass/lab/scale/samples.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from lapispass.lab.scale.system import Usage
-from lapispass.standins.hollow import Pace
 from lapispass.standins.http import Traffic
+from lapispass.standins.placeholder import Pace
 from lapispass.standins.servers import Probed
 
 HOLLOW = "hollow"  # the client's name of all hollow controllers together
--- a/lapispass/lab/scale/stand_in.py
+++ b/lapispass/lab/scale/stand_in.py
@@ -17,8 +17,8 @@
 
 from lapispass.lab.scale import messages as say
 from lapispass.standins.collectors import Collectors, Load
-from lapispass.standins.hollow import Herd, Places
 from lapispass.standins.nodes import clock_us
+from lapispass.standins.placeholder import Endpoints, PlaceholderGroup
 from lapispass.standins.platform import Registry, Relay
 from lapispass.standins.servers import Servers
 
@@ -58,7 +58,7 @@
     """A relay that counts orders in place of keeping them, and notes when a server left its last slice."""
 
     def __init__(self, slices: int, proxies: int, zones: tuple[str, ...]) -> None:
-        super().__init__(slices, proxies, zones=zones, sign_s=SIGN_OF_NEWS_S)
+        super().__init__(slices, proxies, zones=zones, heartbeat_s=SIGN_OF_NEWS_S)
         self.counts: defaultdict[str, Counter[str]] = defaultdict(Counter)
         self.owned: Counter[tuple[str, str]] = Counter()  # slices, by client and owner
         self.watched: dict[str, str] = {}  # a server by client, and when its last slice first left it
@@ -84,7 +84,7 @@
             self.owned[client, before] -= 1
             if not self.owned[client, before] and self.watched.get(client) == before:
                 self.left_us.setdefault(client, clock_us())
-        if client in self.left_us and all(number in self.owners for number in self.charges[client]):
+        if client in self.left_us and all(number in self.owners for number in self.granted[client]):
             self.owned_us.setdefault(client, clock_us())
 
 
@@ -119,7 +119,7 @@
 
     async def open(self, told: say.OpenRelay) -> say.Answer:
         self.relay = relay = CountedRelay(told.slices, told.proxies, tuple(told.zones))
-        relay.charges.update(told.charges)
+        relay.granted.update(told.charges)
         relay.shared.update(told.shared)
         self.collectors = Collectors(relay, Load(told.requests, tuple(told.classes)), told.seed)
         return say.Addresses({client: await relay.listen(client) for client in told.clients})
@@ -127,10 +127,10 @@
     def lose(self, zone: str, servers: list[str], lost: bool) -> None:
         relay = self.relay
         if lost:
-            relay.part(zone)
+            relay.disconnect_zone(zone)
             self.collectors.lost_servers.update(servers)
         else:
-            relay.join_cold(zone)
+            relay.rejoin_cold(zone)
             self.collectors.lost_servers.difference_update(servers)
 
 
@@ -149,7 +149,7 @@
                 servers.silent = servers.silent | set(names) if lost else servers.silent - set(names)
                 return say.Done()
             case say.Count():
-                return say.ServerCounts(len(servers.probed), servers.real, servers.hollow)
+                return say.ServerCounts(len(servers.probed), servers.real, servers.placeholder)
         return say.Failed(f"servers know no {type(command).__name__}")
 
 
@@ -157,20 +157,20 @@
     """Hollow controllers."""
 
     def __init__(self) -> None:
-        self.herd = Herd(0, Places("", "", ()), 0)
+        self.herd = PlaceholderGroup(0, Endpoints("", "", ()), 0)
 
     async def carry_out(self, command: say.Command) -> say.Answer:
         match command:
             case say.OpenHollow(count, registry, relay, servers, seed):
-                self.herd = Herd(count, Places(registry, relay, tuple(servers)), seed)
+                self.herd = PlaceholderGroup(count, Endpoints(registry, relay, tuple(servers)), seed)
             case say.Begin(spread_s):
                 self.herd.begin(spread_s)
             case say.Keep(pace):
                 self.herd.pace = pace
             case say.AskHeard(revision):
-                return moments(self.herd.heard(revision))
+                return moments(self.herd.update_times(revision))
             case say.AskStanding():
-                return moments(self.herd.standing())
+                return moments(self.herd.connected_times())
             case _:
                 return say.Failed(f"hollow controllers know no {type(command).__name__}")
         return say.Done()
--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -128,7 +128,9 @@
             self.start(name)
         for place in range(2 * len(self.names)):
             name = self.names[place % len(self.names)]
-            faults = Faults(slow_eds_s=0.4) if place == len(self.names) else Faults(wait_s=0.05)
+            faults = (
+                Faults(eds_read_delay_s=0.4) if place == len(self.names) else Faults(reconnect_delay_s=0.05)
+            )
             self.clients.append(XdsClient(f"127.0.0.1:{self.ports[name]}", f"x{place}", place, place % 2 == 0,
                                           faults=faults))  # fmt: skip
         lives = [asyncio.create_task(client.run()) for client in self.clients]
@@ -262,7 +264,11 @@
             await asyncio.sleep(0.05)
             now = clock_us()
             for client in self.clients:
-                if client.stream is None or client.faults.slow_eds_s or len(client.endpoints) < 2 * SLICES:
+                if (
+                    client.stream is None
+                    or client.faults.eds_read_delay_s
+                    or len(client.endpoints) < 2 * SLICES
+                ):
                     self.checker.parted(client.name)
                     continue
                 for number in range(SLICES):
--- a/lapispass/standins/collectors.py
+++ b/lapispass/standins/collectors.py
@@ -17,7 +17,7 @@
 
 INTERVAL_S = 1.0
 SERVICE_MS = 20.0  # mean time of a try
-AGAIN_S = 0.5  # after a connection that could not be made
+RECONNECT_S = 0.5  # after a connection that could not be made
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
         self.relay, self.load, self.chance = relay, load, random.Random(seed)
         self.traffic: dict[str, Traffic] = {}
         self.lost_servers: set[str] = set()
-        self.lives: list[asyncio.Task[None]] = []
+        self.tasks: list[asyncio.Task[None]] = []
 
     def report_to(self, client: str, address: str) -> None:
         """Every zone's collector sends its reports to a controller from now on."""
@@ -44,7 +44,7 @@
         begin_at = asyncio.get_running_loop().time()
         for place, zone in enumerate(self.relay.zones):
             first_at = begin_at + self.load.interval_s * (1 + place / len(self.relay.zones))
-            self.lives.append(asyncio.create_task(self.collect(client, address, zone, first_at)))
+            self.tasks.append(asyncio.create_task(self.collect(client, address, zone, first_at)))
 
     async def collect(self, client: str, address: str, zone: str, next_at: float) -> None:
         """The life of a zone's collector towards a controller.
@@ -59,7 +59,7 @@
             try:
                 _, writer = await asyncio.open_connection(host, int(port))
             except OSError:
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RECONNECT_S)
                 continue
             try:
                 traffic.connections += 1
@@ -67,7 +67,7 @@
                 while not writer.is_closing():
                     await asyncio.sleep(max(0.0, next_at - loop.time()))
                     next_at += interval_s * max(1, int((loop.time() - next_at) / interval_s) + 1)
-                    if zone not in self.relay.away:
+                    if zone not in self.relay.disconnected:
                         self.send(writer, traffic, self.lines(client, zone))
             finally:
                 writer.transport.abort()
@@ -83,10 +83,10 @@
         """A zone's reports over one interval: its requests for the client's slices, and what they met."""
         lines: list[str] = []
         tries: defaultdict[str, int] = defaultdict(int)
-        for number in self.relay.charges.get(client, ()):
+        for number in self.relay.granted.get(client, ()):
             owner = self.relay.owners.get(number)
             for route in self.load.classes:
-                total = self.drawn()
+                total = self.draw_count()
                 errors = total if owner is None or owner in self.lost_servers else 0
                 if total:
                     lines.append(
@@ -104,12 +104,12 @@
                 )
         return lines
 
-    def drawn(self) -> int:
+    def draw_count(self) -> int:
         """Requests of one class for one slice from one zone, in an interval."""
         parts = self.relay.slices * len(self.relay.zones) * len(self.load.classes)
         mean = self.load.requests * self.load.interval_s / parts
         return int(mean + self.chance.random())
 
     def stop(self) -> None:
-        for life in self.lives:
+        for life in self.tasks:
             life.cancel()
--- a/lapispass/standins/coordination.py
+++ b/lapispass/standins/coordination.py
@@ -17,7 +17,7 @@
 import h11
 
 from lapispass.standins.nodes import clock_us
-from lapispass.standins.party import Party, answer, asked
+from lapispass.standins.stream_server import StreamServer, encode_response, read_request
 
 
 class Kv(NamedTuple):
@@ -192,7 +192,7 @@
     frozen: bool = False  # its time stands still: no lease ends
 
 
-class Coordination(Party):
+class Coordination(StreamServer):
     """The service on loopback."""
 
     def __init__(self) -> None:
@@ -225,17 +225,17 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = h11.Connection(h11.SERVER)
         while True:
-            _, target, body = await asked(reader, state)
+            _, target, body = await read_request(reader, state)
             self.calls += 1
             if self.faults.slow_s:
                 await asyncio.sleep(self.faults.slow_s)
             while self.faults.silent:
                 await asyncio.sleep(0.02)
             if self.faults.refuse:
-                writer.write(answer(state, 503, '{"error":"etcdserver: no leader","code":14}'))
+                writer.write(encode_response(state, 503, '{"error":"etcdserver: no leader","code":14}'))
                 state.start_next_cycle()
                 continue
             told = json.loads(body or b"{}")
@@ -246,7 +246,7 @@
             if target == "/v3/kv/txn" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return
-            writer.write(answer(state, status, json.dumps(reply)))
+            writer.write(encode_response(state, status, json.dumps(reply)))
             await writer.drain()
             state.start_next_cycle()
 
@@ -290,7 +290,7 @@
         """Changes from a revision on, one JSON object a line; ends where they are compacted away."""
         key, end = unb64(told["key"]), unb64(told.get("range_end", ""))
         following = int(told.get("start_revision", 0)) or self.state.revision + 1
-        writer.write(answer(state, 200, None))
+        writer.write(encode_response(state, 200, None))
 
         def say(result: dict[str, Any]) -> None:
             line = json.dumps({"result": {"header": self.state.header(), "watch_id": "0", **result}}) + "\n"
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -23,8 +23,8 @@
     READ,
     SECOND,
     WRITE,
+    ControllerCore,
     ControllerHost,
-    Deciding,
     Message,
     Server,
     Size,
@@ -34,11 +34,11 @@
 from lapispass.standins.fleet_proxies import REQUESTS_PER_S, STEP, Proxies
 
 SLACK = 300 * MS  # what the protocol's page adds to the limits
-HEARD_AT_LAST = 6 * SECOND  # what the registry has to tell counts as told
+LIST_DELAY_LIMIT = 6 * SECOND  # what the registry has to tell counts as told
 LOAD = 0.6  # of what all servers can do
 
 # Faults that a checker must find: what the controllers are told wrongly, and what is lost of their orders.
-TOLD_WRONGLY: dict[str, dict[str, float]] = {
+WRONG_SETTINGS: dict[str, dict[str, float]] = {
     "write life forgotten": {"linger_us": 0},
     "cold servers called warm": {"cold_us": 1},
     "queue called endless": {"queue_limit_lines": 1e9, "lines_per_s": 1e9},
@@ -58,32 +58,42 @@
         self,
         seed: int,
         size: Size,
-        start: Callable[[interface.Deployment, int, int], Deciding],
+        start: Callable[[interface.Deployment, int, int], ControllerCore],
         planted: str = "",
         settings: interface.Deployment | None = None,
     ) -> None:
-        self.chance, self.now, self.planted, self.make = random.Random(seed), 100 * SECOND, planted, start
+        self.chance, self.now, self.planted, self.make_controller = (
+            random.Random(seed),
+            100 * SECOND,
+            planted,
+            start,
+        )
         self.fault_chance = random.Random(seed)  # of the faults, apart from the day's other chance
         self.deployment = settings or deployment(size)
         zones, slices = self.deployment.zones, self.deployment.slices
-        self.list = {
+        self.registry_entries = {
             f"s{n}": interface.RegistryEntry(f"s{n}", zones[n % 2], "ready", 1.0, None)
             for n in range(size.servers)
         }
-        self.changes: list[tuple[int, interface.RegistryEntry]] = [(0, entry) for entry in self.list.values()]
+        self.changes: list[tuple[int, interface.RegistryEntry]] = [
+            (0, entry) for entry in self.registry_entries.values()
+        ]
         self.owner: dict[int, str | None] = {n: f"s{n % size.servers}" for n in range(slices)}
         self.step = dict.fromkeys(self.owner, 0)  # of a slice's table in the store
         self.levels: dict[int, dict[int, float]] = {n: {} for n in self.owner}
-        self.able = REQUESTS_PER_S * size.proxies * slices / size.servers / LOAD
-        self.servers = {name: Server(str(entry.zone), self.able) for name, entry in self.list.items()}
+        self.server_capacity = REQUESTS_PER_S * size.proxies * slices / size.servers / LOAD
+        self.servers = {
+            name: Server(str(entry.zone), self.server_capacity)
+            for name, entry in self.registry_entries.items()
+        }
         self.home = {n: n % size.controllers for n in self.owner}
-        self.charge: dict[int, int | None] = dict.fromkeys(self.owner)
-        self.given_at = dict.fromkeys(self.owner, self.now)
+        self.controller_of: dict[int, int | None] = dict.fromkeys(self.owner)
+        self.granted_at = dict.fromkeys(self.owner, self.now)
         self.proxies = Proxies(self, size.proxies)
         self.streams = [[Stream() for _ in range(size.controllers)] for _ in range(size.proxies)]
         self.away = [0] * size.proxies  # until when a proxy can reach nobody
         self.hosts = [ControllerHost(n) for n in range(size.controllers)]
-        self.later: list[tuple[int, Callable[[], object]]] = []
+        self.scheduled: list[tuple[int, Callable[[], object]]] = []
         self.registry_free, self.registry_down = self.now, 0
         bounds = Bounds(
             self.deployment.unserved_limit_us + SLACK,
@@ -100,15 +110,15 @@
     # what happens
 
     def at(self, delay_us: float, act: Callable[[], object]) -> None:
-        self.later.append((self.now + int(delay_us), act))
+        self.scheduled.append((self.now + int(delay_us), act))
 
-    def some(self, least: float, most: float) -> int:
+    def random_us(self, least: float, most: float) -> int:
         return int(self.chance.uniform(least, most) * SECOND)
 
     def start(self, host: ControllerHost) -> None:
-        wrongly = TOLD_WRONGLY.get(self.planted, {})
+        wrongly = WRONG_SETTINGS.get(self.planted, {})
         settings = replace(self.deployment, **wrongly)  # type: ignore[arg-type]
-        host.process = self.make(settings, self.chance.randrange(1 << 32), self.now)
+        host.process = self.make_controller(settings, self.chance.randrange(1 << 32), self.now)
         known: dict[str, interface.RegistryEntry] = {}
         for _, entry in self.changes[: host.known]:
             known[str(entry.backend)] = entry
@@ -118,12 +128,14 @@
             None,
             host.known,
         )
-        host.heard = {str(entry.backend): self.now for entry in standing if entry.state == "draining"}
-        host.left, host.settles_at, host.held_back = host.written, 0, []
+        host.draining_since = {
+            str(entry.backend): self.now for entry in standing if entry.state == "draining"
+        }
+        host.lines_sent, host.call_settles_at, host.held_back = host.lines_written, 0, []
         for number in range(len(self.streams)):
-            self.at(self.some(0.05, 2.5), partial(self.join, number, host))
+            self.at(self.random_us(0.05, 2.5), partial(self.join, number, host))
         for number in [n for n, home in self.home.items() if home == host.number]:
-            self.at(self.some(0.1, 2.0), partial(self.give, number, host))
+            self.at(self.random_us(0.1, 2.0), partial(self.grant_slice, number, host))
 
     def stop(self, host: ControllerHost, down_s: float) -> None:
         """Kills a controller; others get its slices a few seconds later, until it is back."""
@@ -135,41 +147,45 @@
         host.process, host.watch_at = None, None
         for number in range(len(self.streams)):
             self.leave(number, host)
-        takeover = self.some(0.9, 3.3)
-        for number in [n for n, charge in self.charge.items() if charge == host.number]:
-            self.charge[number] = None
+        takeover = self.random_us(0.9, 3.3)
+        for number in [n for n, charge in self.controller_of.items() if charge == host.number]:
+            self.controller_of[number] = None
 
             def take(number: int = number) -> None:
-                if self.charge[number] is None:
-                    self.give(number, self.chance.choice([p for p in self.hosts if p.process] or [host]))
+                if self.controller_of[number] is None:
+                    self.grant_slice(
+                        number, self.chance.choice([p for p in self.hosts if p.process] or [host])
+                    )
 
             self.at(takeover, take)
         self.at(down_s * SECOND, lambda: self.start(host))
 
-    def give(self, number: int, host: ControllerHost) -> None:
-        if not host.process or self.charge[number] == host.number:
+    def grant_slice(self, number: int, host: ControllerHost) -> None:
+        if not host.process or self.controller_of[number] == host.number:
             return
-        if (former := self.charge[number]) is not None:
+        if (former := self.controller_of[number]) is not None:
             self.hosts[former].events.append(interface.SliceGrant(number, False))
-        self.charge[number], self.given_at[number], self.levels[number] = host.number, self.now, {}
+        self.controller_of[number], self.granted_at[number], self.levels[number] = host.number, self.now, {}
         host.events.append(interface.SliceGrant(number, True))
         if (owner := self.owner[number]) is not None:
             host.events.append(interface.StoredOwner(number, owner))
-        self.proxies.read_afresh(number)
+        self.proxies.schedule_reads(number)
 
     def join(self, number: int, host: ControllerHost) -> None:
         stream = self.streams[number][host.number]
         if not host.process or stream.joined_at >= 0:
             return
         if self.away[number] > self.now:
-            self.at(self.away[number] - self.now + self.some(0.1, 1), lambda: self.join(number, host))
+            self.at(self.away[number] - self.now + self.random_us(0.1, 1), lambda: self.join(number, host))
             return
-        stream.joined_at, stream.reads_at = self.now, self.now + self.some(0.05, 0.4)
+        stream.joined_at, stream.reads_at = self.now, self.now + self.random_us(0.05, 0.4)
         stream.waiting.clear()
-        stream.travelling.clear()
+        stream.in_transit.clear()
         zone = self.deployment.zones[number % 2]
-        host.events.append(interface.ProxyJoined(number, not stream.met, zone, 3.0, reads_store=True))
-        stream.met = True
+        host.events.append(
+            interface.ProxyJoined(number, not stream.has_joined_before, zone, 3.0, reads_store=True)
+        )
+        stream.has_joined_before = True
 
     def leave(self, number: int, host: ControllerHost) -> None:
         stream = self.streams[number][host.number]
@@ -177,7 +193,7 @@
             return
         stream.joined_at, stream.left_at = -1, self.now
         stream.waiting.clear()
-        stream.travelling.clear()
+        stream.in_transit.clear()
         self.judge.parted(f"p{number}")
         if process := host.process:
 
@@ -185,33 +201,33 @@
                 if host.process is process and stream.joined_at < 0:
                     host.events.append(interface.ProxyLeft(number))
 
-            self.at(self.some(0, 1), noticed)
-            self.at(self.some(1.1, 3), lambda: self.join(number, host))
+            self.at(self.random_us(0, 1), noticed)
+            self.at(self.random_us(1.1, 3), lambda: self.join(number, host))
 
     def change(self, name: str, state: str) -> None:
         """The list will say so; a server that it calls ready has just started."""
-        old = self.list.get(
+        old = self.registry_entries.get(
             name, interface.RegistryEntry(name, self.deployment.zones[self.newcomers % 2], state, 1.0, None)
         )
-        self.list[name] = old._replace(
+        self.registry_entries[name] = old._replace(
             state=state, started_us=self.now if state == "ready" else old.started_us
         )
-        self.changes.append((self.now, self.list[name]))
+        self.changes.append((self.now, self.registry_entries[name]))
 
-    def boot(self, name: str) -> None:
+    def start_server(self, name: str) -> None:
         """A server starts, cold; the list tells a little later."""
-        entry = self.list.get(name)
+        entry = self.registry_entries.get(name)
         zone = str(entry.zone) if entry else self.deployment.zones[self.newcomers % 2]
-        self.servers[name] = Server(zone, self.able, born=self.now)
+        self.servers[name] = Server(zone, self.server_capacity, started_at=self.now)
         born = self.now
 
         def tell() -> None:
-            if self.servers[name].born == born:
+            if self.servers[name].started_at == born:
                 self.change(name, "ready")
-                self.list[name] = self.list[name]._replace(started_us=born)
-                self.changes[-1] = (self.now, self.list[name])
+                self.registry_entries[name] = self.registry_entries[name]._replace(started_us=born)
+                self.changes[-1] = (self.now, self.registry_entries[name])
 
-        self.at(self.some(0.5, 2.0), tell)
+        self.at(self.random_us(0.5, 2.0), tell)
 
     def replace(self, name: str, drain_s: float, back: bool) -> None:
         """A server is announced as leaving, goes, and another comes; or it comes back under its own id."""
@@ -224,7 +240,7 @@
             self.change(name, "gone")
 
         self.at(drain_s * SECOND, go)
-        self.at((drain_s + 1) * SECOND, lambda: self.boot(new))
+        self.at((drain_s + 1) * SECOND, lambda: self.start_server(new))
 
     def lose_zone(self, zone: str, seconds: float, told_s: float | None) -> None:
         """All servers and proxies of a zone vanish and come back, servers cold; the list may tell of it."""
@@ -232,17 +248,17 @@
         for name in struck:
             self.servers[name].up = False
             if told_s is not None:
-                self.at(self.chance.uniform(told_s, told_s + 1) * SECOND, partial(self.found_gone, name))
-            self.at(seconds * SECOND, partial(self.back, name))
+                self.at(self.chance.uniform(told_s, told_s + 1) * SECOND, partial(self.report_gone, name))
+            self.at(seconds * SECOND, partial(self.restart_server, name))
         self.cut(zone, seconds)
 
-    def found_gone(self, name: str) -> None:
+    def report_gone(self, name: str) -> None:
         if not self.servers[name].up:
             self.change(name, "gone")
 
-    def back(self, name: str) -> None:
+    def restart_server(self, name: str) -> None:
         if not self.servers[name].up:
-            self.boot(name)
+            self.start_server(name)
 
     def cut(self, zone: str, seconds: float) -> None:
         """The zone's proxies reach no controller."""
@@ -264,7 +280,7 @@
     def channel(self, host: ControllerHost, pace: float, seconds: float) -> None:
         """A controller's channel slows to a part of its pace, or stands still at 0."""
         host.pace = pace
-        host.troubled_until = self.now + int((seconds + 3) * SECOND)
+        host.limits_paused_until = self.now + int((seconds + 3) * SECOND)
         self.at(seconds * SECOND, lambda: setattr(host, "pace", 1.0))
 
     def slow_streams(self, number: int, seconds: float) -> None:
@@ -280,14 +296,14 @@
         """A proxy is started anew; it holds nothing and reads the store when it joins."""
         for host, stream in zip(self.hosts, self.streams[number], strict=True):
             self.leave(number, host)
-            stream.met = False
-            stream.out.clear()
-        self.proxies.forget(number)
+            stream.has_joined_before = False
+            stream.withdrawn.clear()
+        self.proxies.reset_proxy(number)
 
     def lose_answers(self, host: ControllerHost, part: float, seconds: float) -> None:
         """So many of its calls to the store get no answer: carried out, or only when sent again."""
-        host.unsettled = part
-        self.at(seconds * SECOND, lambda: setattr(host, "unsettled", 0.0))
+        host.lost_answer_share = part
+        self.at(seconds * SECOND, lambda: setattr(host, "lost_answer_share", 0.0))
 
     # the passing of time
 
@@ -295,8 +311,8 @@
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             self.now += STEP
-            due = sorted((x for x in self.later if x[0] <= self.now), key=lambda x: x[0])
-            self.later = [x for x in self.later if x[0] > self.now]
+            due = sorted((x for x in self.scheduled if x[0] <= self.now), key=lambda x: x[0])
+            self.scheduled = [x for x in self.scheduled if x[0] > self.now]
             for _, act in due:
                 act()
             for host in self.hosts:
@@ -304,8 +320,9 @@
                     self.watch(host)
                     self.turn(host)
             for host in self.hosts:
-                host.left = min(
-                    host.written, host.left + host.pace * self.deployment.lines_per_s * STEP / SECOND
+                host.lines_sent = min(
+                    host.lines_written,
+                    host.lines_sent + host.pace * self.deployment.lines_per_s * STEP / SECOND,
                 )
             for number in range(len(self.streams)):
                 self.proxies.step(number)
@@ -324,22 +341,22 @@
             if self.planted != "stale list":
                 host.events.append(interface.RegistryUpdate("changes", entries))
             for entry in entries:
-                self.hear(host, entry)
+                self.note_entry(host, entry)
         for moment, entry in self.changes[host.received :]:
-            if self.now > max(moment, self.registry_down) + HEARD_AT_LAST:
-                self.hear(host, entry)
+            if self.now > max(moment, self.registry_down) + LIST_DELAY_LIMIT:
+                self.note_entry(host, entry)
 
-    def hear(self, host: ControllerHost, entry: interface.RegistryEntry) -> None:
+    def note_entry(self, host: ControllerHost, entry: interface.RegistryEntry) -> None:
         name = str(entry.backend)
         if entry.state == "ready":
-            host.heard.pop(name, None)
-            host.fresh.setdefault(f"{name} {entry.started_us}", self.now)
+            host.draining_since.pop(name, None)
+            host.start_known_at.setdefault(f"{name} {entry.started_us}", self.now)
         else:
-            host.heard.setdefault(name, self.now)
+            host.draining_since.setdefault(name, self.now)
 
     def turn(self, host: ControllerHost) -> None:
         """One turn, unless a call is unsettled: then news wait."""
-        if self.now < host.settles_at:
+        if self.now < host.call_settles_at:
             return
         for message in host.held_back:
             self.carry_out(host, message)
@@ -349,7 +366,7 @@
         for order in host.process.turn(self.now, events):
             match order:
                 case interface.WatchRegistry():
-                    self.call(host)
+                    self.request_watch(host)
                 case interface.Probe(backend):
                     up = str(backend) in self.servers and self.servers[str(backend)].up
                     found = interface.ProbeResult(backend, 0 if up else 4, MS, None)
@@ -364,15 +381,15 @@
                     message.append(order)
         if gone := LOST_ORDERS.get(self.planted):
             message = [order for order in message if not gone(order)]
-        if message and self.chance.random() < host.unsettled:
-            host.settles_at = self.now + self.some(0.2, 0.5)
-            host.troubled_until = max(host.troubled_until, host.settles_at + 2 * SECOND)
+        if message and self.chance.random() < host.lost_answer_share:
+            host.call_settles_at = self.now + self.random_us(0.2, 0.5)
+            host.limits_paused_until = max(host.limits_paused_until, host.call_settles_at + 2 * SECOND)
             if self.chance.random() < 0.5:  # not carried out yet: it goes again
                 host.held_back.append(message)
                 return
         self.carry_out(host, message)
 
-    def call(self, host: ControllerHost) -> None:
+    def request_watch(self, host: ControllerHost) -> None:
         """The registry serves in turn; whoever waits for a second is turned away."""
         host.calls += 1
         begins = max(self.now, self.registry_free)
@@ -389,15 +406,15 @@
             return
         for order in message:
             match order:
-                case interface.SetTableEntry(slice_, backend, _) if self.charge[slice_] == host.number:
+                case interface.SetTableEntry(slice_, backend, _) if self.controller_of[slice_] == host.number:
                     self.owner[slice_] = str(backend)
                     self.step[slice_] += 1
                     self.handovers += 1
-                case interface.ClearTable(slice_) if self.charge[slice_] == host.number:
+                case interface.ClearTable(slice_) if self.controller_of[slice_] == host.number:
                     self.owner[slice_], self.levels[slice_] = None, {}
                     self.step[slice_] += 1
                 case interface.SetAdmission(slice_, classes, _, share) if (
-                    slice_ is not None and self.charge[slice_] == host.number
+                    slice_ is not None and self.controller_of[slice_] == host.number
                 ):
                     self.levels[slice_].update({kind: share for kind in (READ, WRITE) if classes >> kind & 1})
         steps = [(order, self.step.get(getattr(order, "table", None) or 0, 0)) for order in message]
@@ -406,10 +423,10 @@
         marks = [order.number for order in message if isinstance(order, interface.Barrier) and early]
         for number, streams in enumerate(self.streams):
             if (stream := streams[host.number]).joined_at >= 0:
-                host.written += lines
-                stream.waiting.append(Message(host.written, self.now, steps))
+                host.lines_written += lines
+                stream.waiting.append(Message(host.lines_written, self.now, steps))
                 host.events += [interface.BarrierAck(number, mark, 50 * MS) for mark in marks]
-        self.judge.waiting(self.now, f"channel of n{host.number}", int(host.written - host.left))
+        self.judge.waiting(self.now, f"channel of n{host.number}", int(host.lines_written - host.lines_sent))
 
     def seen(self) -> tuple[int, ...]:
         """What the parties saw, in figures."""
--- a/lapispass/standins/fleet_parties.py
+++ b/lapispass/standins/fleet_parties.py
@@ -11,10 +11,10 @@
 MS = 1000
 SECOND = 1000 * MS
 READ, WRITE = 0, 1  # the classes of requests
-SLOWER = 5 * SECOND  # for what is told to a proxy that is slow
+SLOW_STREAM_DELAY = 5 * SECOND  # for what is told to a proxy that is slow
 
 
-class Deciding(Protocol):
+class ControllerCore(Protocol):
     """A controller, as a front drives it."""
 
     def turn(self, now: int, events: list[interface.Event]) -> list[interface.Order]: ...
@@ -67,21 +67,21 @@
     """What it can do now, and what it was sent of late."""
 
     zone: str
-    able: float  # requests a second when warm
-    born: int = 0
+    capacity: float  # requests a second when warm
+    started_at: int = 0
     up: bool = True
     failing: float = 0.0  # the part of its requests that it fails at once
-    sent: deque[int] = field(default_factory=deque)
+    recent_requests: deque[int] = field(default_factory=deque)
 
     def warmth(self, settings: interface.Deployment, now: int) -> float:
-        age = (now - self.born) / settings.cold_us if self.born else 1.0
+        age = (now - self.started_at) / settings.cold_us if self.started_at else 1.0
         return min(1.0, settings.cold_share + (1 - settings.cold_share) * age)
 
 
 class Message(NamedTuple):
     """A turn's orders on their way to one proxy."""
 
-    leaves: float  # when so many lines have left the channel
+    sent_at_line: float  # when so many lines have left the channel
     issued: int
     orders: list[tuple[interface.Order, int]]  # each with the step of the slice's table
 
@@ -93,16 +93,16 @@
     joined_at: int = -1  # -1: broken
     left_at: int = 0
     reads_at: int = 0
-    out: set[str] = field(default_factory=set)
+    withdrawn: set[str] = field(default_factory=set)
     waiting: deque[Message] = field(default_factory=deque)
-    travelling: deque[tuple[int, Message]] = field(default_factory=deque)
-    met: bool = False
+    in_transit: deque[tuple[int, Message]] = field(default_factory=deque)
+    has_joined_before: bool = False
     applied: int = 0  # when the last message that it has applied was ordered
     slow_until: int = 0  # messages that leave the channel until then take `SLOWER` longer
 
     def late_us(self, now: int) -> int:
         """How much later than the platform's `late-most-us` a message may come now."""
-        return SLOWER if now < self.slow_until + SLOWER + SECOND else 0
+        return SLOW_STREAM_DELAY if now < self.slow_until + SLOW_STREAM_DELAY + SECOND else 0
 
 
 @dataclass
@@ -110,18 +110,24 @@
     """Where a controller runs: its process, its channel, its watch, and what it was told."""
 
     number: int
-    process: Deciding | None = None
+    process: ControllerCore | None = None
     events: list[interface.Event] = field(default_factory=list)
     watch_at: int | None = None  # the watch opens, or has opened, then
     received: int = 0  # changes of the list that it was given
     known: int = 0  # a restart knows the list as it was then
-    heard: dict[str, int] = field(default_factory=dict)  # unfit servers, since when this host was told
-    fresh: dict[str, int] = field(default_factory=dict)  # cold servers, since when it was told of their start
-    written: float = 0.0  # lines into the channel
-    left: float = 0.0  # lines out of it
+    draining_since: dict[str, int] = field(
+        default_factory=dict
+    )  # unfit servers, since when this host was told
+    start_known_at: dict[str, int] = field(
+        default_factory=dict
+    )  # cold servers, since when it was told of their start
+    lines_written: float = 0.0  # lines into the channel
+    lines_sent: float = 0.0  # lines out of it
     pace: float = 1.0  # of the stated one
-    troubled_until: int = 0  # rule 1's and 3's limits wait while the channel or a call is not as it should be
-    unsettled: float = 0.0  # the part of its calls whose answer does not come
-    settles_at: int = 0
+    limits_paused_until: int = (
+        0  # rule 1's and 3's limits wait while the channel or a call is not as it should be
+    )
+    lost_answer_share: float = 0.0  # the part of its calls whose answer does not come
+    call_settles_at: int = 0
     held_back: list[list[interface.Order]] = field(default_factory=list)
     calls: int = 0
--- a/lapispass/standins/screens.py
+++ b/lapispass/standins/held_client.py
@@ -17,7 +17,7 @@
 COME_BACK = re.compile(r"come-back-ms=(\d+)")
 
 
-class End(NamedTuple):
+class ConnectionEnd(NamedTuple):
     """How one of a screen's connections ended, as the screen saw it."""
 
     at_us: int
@@ -25,7 +25,7 @@
     reason: str
 
 
-class Refused(NamedTuple):
+class RefusedUpgrade(NamedTuple):
     """An upgrade that was answered otherwise."""
 
     at_us: int
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Screen:
+class HeldClient:
     """One screen. With `writes_every_s` it writes to its key, each write numbered, and never sends one
     twice."""
 
@@ -43,16 +43,16 @@
     seed: int
     key: str = ""
     writes_every_s: float = 0.0
-    honours: bool = True  # comes back when it is told, else after its own back-off alone
-    stood: int = 0  # connections that stood
-    ends: list[End] = field(default_factory=list)
-    refusals: list[Refused] = field(default_factory=list)
+    obeys_hints: bool = True  # comes back when it is told, else after its own back-off alone
+    connected_count: int = 0  # connections that stood
+    ends: list[ConnectionEnd] = field(default_factory=list)
+    refusals: list[RefusedUpgrade] = field(default_factory=list)
     sent: dict[str, int] = field(default_factory=dict)  # number of each write: when it was sent
     answered: set[str] = field(default_factory=set)
-    got: list[str] = field(default_factory=list)
+    received: list[str] = field(default_factory=list)
     open: bool = False
     back_off_s: float = 0.2
-    keeps: int = 1000  # messages
+    message_limit: int = 1000  # messages
 
     async def run(self) -> None:
         """Connects, stays, comes back; until it is cancelled."""
@@ -69,24 +69,26 @@
                     close_timeout=2,
                     open_timeout=10,
                 ) as connection:
-                    self.stood, self.open, failed = self.stood + 1, True, 0
+                    self.connected_count, self.open, failed = self.connected_count + 1, True, 0
                     try:
                         await self.stay(connection, chance)
                     finally:
                         self.open = False
                         self.ends.append(
-                            End(clock_us(), connection.close_code or 1006, connection.close_reason or "")
+                            ConnectionEnd(
+                                clock_us(), connection.close_code or 1006, connection.close_reason or ""
+                            )
                         )
             except InvalidStatus as error:
                 failed += 1
                 told = int(error.response.headers.get("Retry-After-Ms", "0"))
-                self.refusals.append(Refused(clock_us(), error.response.status_code, told))
-                wait_s = told / 1000 if told and self.honours else wait_s
+                self.refusals.append(RefusedUpgrade(clock_us(), error.response.status_code, told))
+                wait_s = told / 1000 if told and self.obeys_hints else wait_s
             except (OSError, ConnectionClosed, InvalidHandshake, InvalidMessage, EOFError):
                 failed += 1
             else:
                 told_back = COME_BACK.search(self.ends[-1].reason)
-                wait_s = int(told_back[1]) / 1000 if told_back and self.honours else wait_s
+                wait_s = int(told_back[1]) / 1000 if told_back and self.obeys_hints else wait_s
             await asyncio.sleep(wait_s)
 
     async def stay(self, connection: ClientConnection, chance: random.Random) -> None:
@@ -98,8 +100,8 @@
                 if isinstance(message, str):
                     if message.startswith("ok "):
                         self.answered.add(message[3:])
-                    elif len(self.got) < self.keeps:
-                        self.got.append(message)
+                    elif len(self.received) < self.message_limit:
+                        self.received.append(message)
         except ConnectionClosed:
             pass
         finally:
--- a/lapispass/standins/http.py
+++ b/lapispass/standins/http.py
@@ -51,43 +51,43 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Conversation(asyncio.Protocol):
+class HttpConnection(asyncio.Protocol):
     """One connection of a client; each whole request is handed to its host."""
 
-    def __init__(self, host: Host, client: str) -> None:
+    def __init__(self, host: HttpServer, client: str) -> None:
         self.host, self.client, self.traffic = host, client, host.traffic[client]
         self.transport: asyncio.Transport | None = None
-        self.unread = b""
-        self.full = False  # the client leaves more unread than the transport buffers
+        self.received = b""
+        self.write_paused = False  # the client leaves more unread than the transport buffers
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.traffic.connections += 1
-        self.host.open.add(self)
+        self.host.open_connections.add(self)
 
     def data_received(self, data: bytes) -> None:
         self.traffic.bytes_in += len(data)
-        self.unread += data
-        while (request := self.request()) is not None:
+        self.received += data
+        while (request := self.next_request()) is not None:
             self.traffic.calls += 1
             self.host.serve(self, request)
-        if len(self.unread) > REQUEST_BYTES:
+        if len(self.received) > REQUEST_BYTES:
             self.abort()
 
-    def request(self) -> Request | None:
+    def next_request(self) -> Request | None:
         """The next request that has come whole."""
-        end = self.unread.find(HEAD_END)
+        end = self.received.find(HEAD_END)
         if end < 0:
             return None
-        head, length = self.unread[:end], 0
+        head, length = self.received[:end], 0
         if (at := head.lower().find(LENGTH)) >= 0:
             value = head[at + len(LENGTH) :].split(b"\r\n", 1)[0].strip()
             length = int(value) if value.isdigit() else REQUEST_BYTES
         whole = end + len(HEAD_END) + length
-        if len(self.unread) < whole:
+        if len(self.received) < whole:
             return None
-        body, self.unread = self.unread[end + len(HEAD_END) : whole], self.unread[whole:]
+        body, self.received = self.received[end + len(HEAD_END) : whole], self.received[whole:]
         method, _, rest = head.split(b"\r\n", 1)[0].decode("latin-1").partition(" ")
         return Request(method, rest.partition(" ")[0], body, head)
 
@@ -95,7 +95,7 @@
         """Sends and counts; nothing to a connection that has ended. Whoever falls too far behind is reset."""
         if self.transport is None or self.transport.is_closing():
             return
-        if self.transport.get_write_buffer_size() > self.host.unread_most:
+        if self.transport.get_write_buffer_size() > self.host.unread_limit:
             self.abort()
             return
         self.traffic.bytes_out += len(data)
@@ -103,29 +103,29 @@
         self.transport.write(data)
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.full = False
-        self.host.drained(self)
+        self.write_paused = False
+        self.host.writing_resumed(self)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.host.open.discard(self)
-        self.host.lost(self)
+        self.host.open_connections.discard(self)
+        self.host.connection_closed(self)
 
 
-class Host:
+class HttpServer:
     """A server on loopback with a listening socket for each client that is told apart."""
 
-    unread_most = UNREAD_BYTES
+    unread_limit = UNREAD_BYTES
 
     def __init__(self) -> None:
         self.traffic: dict[str, Traffic] = {}
-        self.open: set[Conversation] = set()
+        self.open_connections: set[HttpConnection] = set()
         self.servers: list[asyncio.Server] = []
         self.address = ""  # of the client that was listened for last
 
@@ -134,7 +134,9 @@
         listener = socket.create_server((host, port), backlog=BACKLOG)
         self.traffic.setdefault(client, Traffic())
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Conversation(self, client), sock=listener, backlog=BACKLOG)
+        server = await loop.create_server(
+            lambda: HttpConnection(self, client), sock=listener, backlog=BACKLOG
+        )
         self.servers.append(server)
         self.address = "{}:{}".format(*listener.getsockname()[:2])
         return self.address
@@ -143,20 +145,20 @@
         """Listens for a single client."""
         await self.listen("", port=port)
 
-    def serve(self, conversation: Conversation, request: Request) -> None:
+    def serve(self, connection: HttpConnection, request: Request) -> None:
         """Answers a request."""
         raise NotImplementedError
 
-    def drained(self, conversation: Conversation) -> None:
+    def writing_resumed(self, connection: HttpConnection) -> None:
         """A client has read what it left unread before."""
 
-    def lost(self, conversation: Conversation) -> None:
+    def connection_closed(self, connection: HttpConnection) -> None:
         """A connection has ended."""
 
     def reset(self) -> None:
         """Every connection is reset; new ones are taken."""
-        for conversation in list(self.open):
-            conversation.abort()
+        for connection in list(self.open_connections):
+            connection.abort()
 
     def stop(self) -> None:
         for server in self.servers:
--- a/lapispass/standins/nodes.py
+++ b/lapispass/standins/nodes.py
@@ -47,7 +47,7 @@
 
 
 @dataclass
-class Strength:
+class Capacity:
     """What a node can take. Sent more than `fall_multiple` times that within a second, a cold one falls
     over."""
 
@@ -62,30 +62,32 @@
     """One node; `async with` starts it on a free port of loopback."""
 
     def __init__(
-        self, name: str, zone: str = "east", strength: Strength | None = None, tick_s: float = 0.0
+        self, name: str, zone: str = "east", capacity: Capacity | None = None, tick_s: float = 0.0
     ) -> None:
-        self.name, self.zone, self.strength, self.tick_s = name, zone, strength or Strength(), tick_s
+        self.name, self.zone, self.capacity, self.tick_s = name, zone, capacity or Capacity(), tick_s
         self.held: set[ServerConnection] = set()
         self.peak = 0
-        self.came = 0
-        self.fell_at = 0
+        self.accepted = 0
+        self.overloaded_at = 0
         self.peak_new = 0.0  # most new ones within a second, as a share of what it could take then
         self.peak_held = 0.0  # most held, as a share of what it could hold then
         self.writes: list[Write] = []
         self.ends: list[Closed] = []
         self.received = 0
-        self.refuses: HTTPStatus | None = None  # answers every upgrade with this
+        self.refuse_with: HTTPStatus | None = None  # answers every upgrade with this
         self.recent: deque[int] = deque()
-        self.born_us = 0
+        self.started_us = 0
         self.address = ""
         self.server: Server | None = None
-        self.heard: Callable[[str], None] = lambda _: None  # told each message; for tests that wait for one
+        self.on_message: Callable[[str], None] = lambda _: (
+            None
+        )  # told each message; for tests that wait for one
 
     async def start(self, port: int = 0, cold: bool = False) -> CounterNode:
-        self.born_us = clock_us() if cold else 0
-        self.fell_at = 0
+        self.started_us = clock_us() if cold else 0
+        self.overloaded_at = 0
         self.server = await serve(
-            self.life,
+            self.handle_connection,
             "127.0.0.1",
             port,
             compression=None,
@@ -106,11 +108,11 @@
 
     async def stop(self) -> None:
         """Ends it; what it still holds is dropped."""
-        self.die()
+        self.kill()
         if self.server is not None:
             await self.server.wait_closed()
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """As a killed process: every connection is reset, and new ones are refused."""
         if self.server is not None:
             self.server.close(close_connections=False)
@@ -119,42 +121,42 @@
 
     def warmth(self, now: int) -> float:
         """The share of its strength that it has."""
-        strength = self.strength
-        if not self.born_us or not strength.cold_us:
+        capacity = self.capacity
+        if not self.started_us or not capacity.cold_us:
             return 1.0
-        age = (now - self.born_us) / strength.cold_us
-        return min(1.0, strength.cold_share + (1 - strength.cold_share) * age)
+        age = (now - self.started_us) / capacity.cold_us
+        return min(1.0, capacity.cold_share + (1 - capacity.cold_share) * age)
 
     def upgrade(self, _: ServerConnection, request: Request) -> Response | None:
         """Counts an upgrade, and falls over when pushed."""
         now = clock_us()
         if request.path in ("/health/live", "/stats"):
-            status = HTTPStatus.SERVICE_UNAVAILABLE if self.fell_at else HTTPStatus.OK
+            status = HTTPStatus.SERVICE_UNAVAILABLE if self.overloaded_at else HTTPStatus.OK
             return Response(
                 status.value, status.phrase, request.headers.__class__({"Content-Length": "0"}), b""
             )
-        if self.refuses is not None or self.fell_at:
-            status = self.refuses or HTTPStatus.SERVICE_UNAVAILABLE
+        if self.refuse_with is not None or self.overloaded_at:
+            status = self.refuse_with or HTTPStatus.SERVICE_UNAVAILABLE
             return Response(status.value, status.phrase, request.headers.__class__({"Retry-After": "2"}), b"")
         self.recent.append(now)
         while self.recent[0] < now - 1_000_000:
             self.recent.popleft()
-        able = self.strength.new_per_s * self.warmth(now)
+        able = self.capacity.new_per_s * self.warmth(now)
         self.peak_new = max(self.peak_new, len(self.recent) / able)
         self.peak_held = max(
-            self.peak_held, (len(self.held) + 1) / (self.strength.connections * self.warmth(now))
+            self.peak_held, (len(self.held) + 1) / (self.capacity.connections * self.warmth(now))
         )
-        if max(len(self.recent) / able, self.peak_held) > self.strength.fall_multiple:
-            self.fell_at = now
-            self.die()
+        if max(len(self.recent) / able, self.peak_held) > self.capacity.fall_multiple:
+            self.overloaded_at = now
+            self.kill()
         return None
 
-    async def life(self, connection: ServerConnection) -> None:
+    async def handle_connection(self, connection: ServerConnection) -> None:
         """One connection, from its upgrade to its end."""
         begun = clock_us()
         path = connection.request.path if connection.request else "/"
         self.held.add(connection)
-        self.came += 1
+        self.accepted += 1
         self.peak = max(self.peak, len(self.held))
         ticking = (
             asyncio.create_task(self.tick(connection)) if self.tick_s and path.startswith("/board") else None
@@ -164,7 +166,7 @@
                 message = await connection.recv()
                 self.received += 1
                 if isinstance(message, str):
-                    self.heard(message)
+                    self.on_message(message)
                 await connection.send(await self.answer(message))
         except ConnectionClosed:
             pass
--- a/lapispass/standins/hollow.py
+++ b/lapispass/standins/placeholder.py
@@ -16,11 +16,11 @@
 
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.platform import INSTANCES
-from lapispass.standins.servers import HOLLOW_AGENT
+from lapispass.standins.servers import PLACEHOLDER_AGENT
 
 TICK_S = 0.02  # between looks at what is due
 PROBE_S = 0.75  # a probe without an answer for so long has failed
-AGAIN_S = 0.5  # the longest wait before a connection that was lost is made again
+RECONNECT_MAX_S = 0.5  # the longest wait before a connection that was lost is made again
 REVISION = re.compile(rb'\{"revision":(\d+),')
 TAIL = 40  # bytes kept of a piece, in which the next revision may have begun
 LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Places:
+class Endpoints:
     """Where the others are, as `host:port`."""
 
     registry: str
@@ -48,17 +48,20 @@
 
 def request(method: str, target: str, body: bytes = b"") -> bytes:
     """A whole HTTP request of a hollow controller."""
-    head = f"{method} {target} HTTP/1.1\r\nHost: stand-in\r\n".encode() + HOLLOW_AGENT
+    head = f"{method} {target} HTTP/1.1\r\nHost: stand-in\r\n".encode() + PLACEHOLDER_AGENT
     return b"%b\r\nContent-Length: %d\r\n\r\n%b" % (head, len(body), body)
 
 
-class Listener(asyncio.Protocol):
+class RawConnection(asyncio.Protocol):
     """One connection: writes a request, and hands on whatever comes."""
 
     def __init__(
-        self, said: bytes, heard: Callable[[Listener, bytes], None], lost: Callable[[Listener], None]
+        self,
+        request_bytes: bytes,
+        on_data: Callable[[RawConnection, bytes], None],
+        on_close: Callable[[RawConnection], None],
     ) -> None:
-        self.said, self.heard, self.lost = said, heard, lost
+        self.request_bytes, self.on_data, self.on_close = request_bytes, on_data, on_close
         self.transport: asyncio.Transport | None = None
         self.unread = 0  # bytes of a list that are still to come, once its length is known
         self.tail = b""
@@ -66,13 +69,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        transport.write(self.said)
+        transport.write(self.request_bytes)
 
     def data_received(self, data: bytes) -> None:
-        self.heard(self, data)
+        self.on_data(self, data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost(self)
+        self.on_close(self)
 
     def send(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -83,26 +86,26 @@
             self.transport.abort()
 
 
-class Hollow:
+class PlaceholderController:
     """One hollow controller."""
 
-    def __init__(self, places: Places, chance: random.Random) -> None:
-        self.places, self.chance = places, chance
-        self.revision, self.heard_us = 0, 0  # the newest of the list, and when it came
-        self.watch: Listener | None = None
-        self.news: Listener | None = None
-        self.calls: Listener | None = None
-        self.stood_us = 0  # when watch and news first stood
+    def __init__(self, endpoints: Endpoints, chance: random.Random) -> None:
+        self.endpoints, self.chance = endpoints, chance
+        self.revision, self.updated_us = 0, 0  # the newest of the list, and when it came
+        self.watch: RawConnection | None = None
+        self.events: RawConnection | None = None
+        self.calls: RawConnection | None = None
+        self.connected_us = 0  # when watch and news first stood
         self.closed = False
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self, after_s: float) -> None:
         """Starts as a real one does: the whole list, then the watch and the news."""
         await asyncio.sleep(after_s)
-        self.do(self.open_news())
-        self.do(self.fetch())
+        self.spawn(self.open_events())
+        self.spawn(self.fetch())
 
-    def do(self, work: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Keeps a task until it is done."""
         if self.closed:
             work.close()
@@ -114,41 +117,45 @@
     async def connect(
         self,
         address: str,
-        said: bytes,
-        heard: Callable[[Listener, bytes], None],
-        lost: Callable[[Listener], None],
-    ) -> Listener:
+        request_bytes: bytes,
+        on_data: Callable[[RawConnection, bytes], None],
+        on_close: Callable[[RawConnection], None],
+    ) -> RawConnection:
         """A connection; it is tried until it stands."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         while True:
             try:
-                _, made = await loop.create_connection(lambda: Listener(said, heard, lost), host, int(port))
+                _, made = await loop.create_connection(
+                    lambda: RawConnection(request_bytes, on_data, on_close), host, int(port)
+                )
                 return made
             except OSError:
-                await asyncio.sleep(self.chance.uniform(0, AGAIN_S))
+                await asyncio.sleep(self.chance.uniform(0, RECONNECT_MAX_S))
 
     async def fetch(self) -> None:
-        await self.connect(self.places.registry, request("GET", INSTANCES), self.listed, lambda link: None)
+        await self.connect(
+            self.endpoints.registry, request("GET", INSTANCES), self.handle_list_data, lambda link: None
+        )
 
-    def listed(self, link: Listener, data: bytes) -> None:
+    def handle_list_data(self, link: RawConnection, data: bytes) -> None:
         """A piece of the whole list; behind its last byte the watch is opened."""
         if not link.unread:
             head, _, rest = data.partition(b"\r\n\r\n")
             length = LENGTH.search(head)
             link.unread = int(length[1]) if length else 0
             data = rest
-            self.note(link, data)
+            self.note_revision(link, data)
         link.unread -= len(data)
         if link.unread <= 0:
             link.close()
-            self.do(self.open_watch())
+            self.spawn(self.open_watch())
 
-    def note(self, link: Listener, data: bytes) -> None:
+    def note_revision(self, link: RawConnection, data: bytes) -> None:
         """The newest revision that a piece tells of, whichever way its bytes are cut."""
         text = link.tail + data
         if (last := max(map(int, REVISION.findall(text)), default=0)) > self.revision:
-            self.revision, self.heard_us = last, clock_us()
+            self.revision, self.updated_us = last, clock_us()
         link.tail = text[-TAIL:]
 
     async def open_watch(self) -> None:
@@ -156,54 +163,58 @@
         before = self.watch
         target = f"{INSTANCES}?watch=1&from={self.revision}"
         self.watch = await self.connect(
-            self.places.registry, request("GET", target), self.note, self.watch_lost
+            self.endpoints.registry, request("GET", target), self.note_revision, self.watch_lost
         )
         if before is not None:
             before.close()
-        self.stands()
+        self.note_connected()
 
-    def watch_lost(self, link: Listener) -> None:
+    def watch_lost(self, link: RawConnection) -> None:
         if link is self.watch:
             self.watch = None
-            self.do(self.open_watch())
+            self.spawn(self.open_watch())
 
-    async def open_news(self) -> None:
-        self.news = await self.connect(
-            self.places.relay, request("GET", "/events"), lambda link, data: None, self.news_lost
+    async def open_events(self) -> None:
+        self.events = await self.connect(
+            self.endpoints.relay, request("GET", "/events"), lambda link, data: None, self.events_lost
         )
-        self.stands()
+        self.note_connected()
 
-    def news_lost(self, link: Listener) -> None:
-        if link is self.news:
-            self.news = None
-            self.do(self.open_news())
+    def events_lost(self, link: RawConnection) -> None:
+        if link is self.events:
+            self.events = None
+            self.spawn(self.open_events())
 
-    def stands(self) -> None:
-        if self.watch is not None and self.news is not None and not self.stood_us:
-            self.stood_us = clock_us()
+    def note_connected(self) -> None:
+        if self.watch is not None and self.events is not None and not self.connected_us:
+            self.connected_us = clock_us()
 
     async def call(self, orders: Sequence[str]) -> None:
         """Sends a call on the connection that is kept for calls."""
-        said = request("POST", "/", f"Action=ApplyOrders&orders={'%3B'.join(orders)}".encode())
+        request_bytes = request("POST", "/", f"Action=ApplyOrders&orders={'%3B'.join(orders)}".encode())
         if self.calls is not None:
-            self.calls.send(said)
+            self.calls.send(request_bytes)
             return
-        self.calls = await self.connect(self.places.relay, said, lambda link, data: None, self.calls_lost)
+        self.calls = await self.connect(
+            self.endpoints.relay, request_bytes, lambda link, data: None, self.calls_lost
+        )
 
-    def calls_lost(self, link: Listener) -> None:
+    def calls_lost(self, link: RawConnection) -> None:
         if link is self.calls:
             self.calls = None
 
     async def probe(self) -> None:
         """Asks a server whether it is alive, and leaves."""
-        host, _, port = self.chance.choice(self.places.servers).rpartition(":")
+        host, _, port = self.chance.choice(self.endpoints.servers).rpartition(":")
         loop, answered = asyncio.get_running_loop(), asyncio.Event()
-        said = request("GET", "/health/live")
-        link: Listener | None = None
+        request_bytes = request("GET", "/health/live")
+        link: RawConnection | None = None
         try:
             async with asyncio.timeout(PROBE_S):
                 _, link = await loop.create_connection(
-                    lambda: Listener(said, lambda made, data: answered.set(), lambda made: answered.set()),
+                    lambda: RawConnection(
+                        request_bytes, lambda made, data: answered.set(), lambda made: answered.set()
+                    ),
                     host,
                     int(port),
                 )
@@ -216,71 +227,71 @@
 
     def close(self) -> None:
         self.closed = True
-        for link in (self.watch, self.news, self.calls):
+        for link in (self.watch, self.events, self.calls):
             if link is not None:
                 link.close()
         for task in self.tasks:
             task.cancel()
 
 
-class Herd:
+class PlaceholderGroup:
     """The hollow controllers of one process."""
 
-    def __init__(self, count: int, places: Places, seed: int) -> None:
+    def __init__(self, count: int, endpoints: Endpoints, seed: int) -> None:
         self.chance = random.Random(seed)
-        self.controllers = [Hollow(places, self.chance) for _ in range(count)]
+        self.controllers = [PlaceholderController(endpoints, self.chance) for _ in range(count)]
         self.pace = Pace()
         self.mark = 0
-        self.life: asyncio.Task[None] | None = None
-        self.owed = {"calls": 0.0, "probes": 0.0, "watches": 0.0}
+        self.task: asyncio.Task[None] | None = None
+        self.due = {"calls": 0.0, "probes": 0.0, "watches": 0.0}
 
     def begin(self, spread_s: float) -> None:
         """All start within `spread_s`."""
         for controller in self.controllers:
-            controller.do(controller.begin(self.chance.uniform(0, spread_s)))
-        self.life = asyncio.create_task(self.run())
+            controller.spawn(controller.begin(self.chance.uniform(0, spread_s)))
+        self.task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
         """Sends what is due, each time by controllers drawn by chance."""
         while True:
             await asyncio.sleep(TICK_S)
-            for controller in self.drawn("calls", self.pace.calls):
-                controller.do(controller.call(self.orders()))
-            for controller in self.drawn("probes", self.pace.probes):
-                controller.do(controller.probe())
-            for controller in self.drawn("watches", self.pace.watches):
+            for controller in self.draw("calls", self.pace.calls):
+                controller.spawn(controller.call(self.make_orders()))
+            for controller in self.draw("probes", self.pace.probes):
+                controller.spawn(controller.probe())
+            for controller in self.draw("watches", self.pace.watches):
                 if controller.watch is not None:
-                    controller.do(controller.open_watch())
+                    controller.spawn(controller.open_watch())
 
-    def drawn(self, what: str, rate: float) -> list[Hollow]:
+    def draw(self, what: str, rate: float) -> list[PlaceholderController]:
         """Whose turn it is, for something that each does so often in a second."""
-        self.owed[what] += rate * len(self.controllers) * TICK_S
-        count = int(self.owed[what])
-        self.owed[what] -= count
+        self.due[what] += rate * len(self.controllers) * TICK_S
+        count = int(self.due[what])
+        self.due[what] -= count
         return self.chance.choices(self.controllers, k=count)
 
-    def whole(self, mean: float) -> int:
+    def round_randomly(self, mean: float) -> int:
         return int(mean + self.chance.random())
 
-    def orders(self) -> list[str]:
+    def make_orders(self) -> list[str]:
         """A call's orders: marks, and levels that change nothing."""
-        marks = self.whole(self.pace.marks)
-        others = max(0, self.whole(self.pace.orders) - marks)
+        marks = self.round_randomly(self.pace.marks)
+        others = max(0, self.round_randomly(self.pace.orders) - marks)
         if not marks + others:
             marks = 1
         self.mark = (self.mark + 1) % 65_536
         return ["LIMIT%2C%2A%2C%2A%2C1%2C1"] * others + [f"SYNC%2C{self.mark}%2C1"] * marks
 
-    def standing(self) -> list[int]:
+    def connected_times(self) -> list[int]:
         """When each that stands first did, in microseconds of the machine's monotonic clock."""
-        return [each.stood_us for each in self.controllers if each.stood_us]
+        return [each.connected_us for each in self.controllers if each.connected_us]
 
-    def heard(self, revision: int) -> list[int]:
+    def update_times(self, revision: int) -> list[int]:
         """When each that knows a revision heard it."""
-        return [each.heard_us for each in self.controllers if each.revision >= revision]
+        return [each.updated_us for each in self.controllers if each.revision >= revision]
 
     def close(self) -> None:
-        if self.life is not None:
-            self.life.cancel()
+        if self.task is not None:
+            self.task.cancel()
         for controller in self.controllers:
             controller.close()
--- a/lapispass/standins/proxy_streams.py
+++ b/lapispass/standins/proxy_streams.py
@@ -15,11 +15,11 @@
 from typing import NamedTuple
 
 from lapispass.rules.five import Checker
-from lapispass.standins.http import CHUNKED, Conversation, chunk
+from lapispass.standins.http import CHUNKED, HttpConnection, chunk
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.platform import Relay, event
 
-READ_LEAST_S, READ_MOST_S = 0.05, 0.5  # from joining until a proxy has read the store
+READ_MIN_S, READ_MAX_S = 0.05, 0.5  # from joining until a proxy has read the store
 HEAD_LINES = 12  # of each message
 
 
@@ -27,8 +27,8 @@
     """How fast orders travel, and how long writes last; times in seconds."""
 
     lines_per_s: float  # of the channel to all proxies
-    least_s: float  # from leaving the channel until a proxy has applied a message
-    most_s: float
+    min_delay_s: float  # from leaving the channel until a proxy has applied a message
+    max_delay_s: float
     lease_s: float  # a proxy goes on with writes for so long after its stream broke
     linger_s: float  # a write may stay in hand for so long
     writes: str  # the class of requests that write
@@ -65,7 +65,7 @@
     stalled_until: float = 0.0
     last_at: float = 0.0  # when the last message that was sent to it comes
     rows: dict[int, Row] = field(default_factory=dict)
-    out: set[str] = field(default_factory=set)
+    withdrawn: set[str] = field(default_factory=set)
     inbox: deque[Message] = field(default_factory=deque)  # come on this stream, not applied yet
 
 
@@ -76,35 +76,39 @@
         self, slices: Sequence[int], proxies: int, pace: Pace, checker: Checker, chance: random.Random
     ) -> None:
         super().__init__(len(slices), proxies, zones=("east", "west"))
-        self.charges[""] = slices
+        self.granted[""] = slices
         self.pace, self.checker, self.chance = pace, checker, chance
         self.store: dict[int, Row] = {number: Row() for number in slices}
-        self.parties = [Proxy() for _ in range(proxies)]
+        self.proxy_states = [Proxy() for _ in range(proxies)]
         self.message, self.version = Message(), 0
         self.channel_free_at = 0.0
         self.judged_since_us = 0
 
-    def own(self, servers: Sequence[str]) -> None:
+    def set_owners(self, servers: Sequence[str]) -> None:
         """What stands before the first controller; all proxies have joined and hold it."""
         for place, number in enumerate(self.store):
             self.store[number] = Row(servers[place % len(servers)])
             self.owners[number] = servers[place % len(servers)]
-        for proxy in self.parties:
+        for proxy in self.proxy_states:
             proxy.joined, proxy.has_read, proxy.rows = True, True, dict(self.store)
 
     # the relay's side
 
-    def tell_all(self, stream: Conversation) -> None:
+    def start_event_stream(self, stream: HttpConnection) -> None:
         """News: the proxies whose streams stand, the slices and their owners."""
-        lines = [self.joining(number) for number, proxy in enumerate(self.parties) if proxy.joined]
+        lines = [
+            self.subscribe_event(number) for number, proxy in enumerate(self.proxy_states) if proxy.joined
+        ]
         for number, row in self.store.items():
             lines.append(event("GRANT", shard=number, set=1))
             if row.owner is not None:
                 lines.append(event("ROW", shard=number, endpoint=row.owner, w=1))
         stream.write(CHUNKED + chunk(b"".join(lines) + b":\n\n"), len(lines))
-        self.news.setdefault(stream.client, []).append(stream)
-        if self.signs is None:
-            self.signs = asyncio.get_running_loop().call_later(self.sign_s, self.sign)
+        self.event_streams.setdefault(stream.client, []).append(stream)
+        if self.heartbeat_timer is None:
+            self.heartbeat_timer = asyncio.get_running_loop().call_later(
+                self.heartbeat_s, self.send_heartbeats
+            )
 
     def carry_out(self, order: list[str], client: str = "") -> None:
         """The store takes an order; the mark, which is a turn's last order, sends the message off."""
@@ -113,13 +117,13 @@
             self.send(order[1])
             return
         self.version += 1
-        made = self.changed(order)
+        made = self.table_after(order)
         if made is not None:
             self.store[int(order[1])] = made
         self.message.orders.append((order, made))
         super().carry_out(order, client)
 
-    def changed(self, order: list[str]) -> Row | None:
+    def table_after(self, order: list[str]) -> Row | None:
         """A slice's table as an order leaves it in the store; None for an order of another kind."""
         match order:
             case ["SET", number, owner, _]:
@@ -138,11 +142,11 @@
         message.mark, message.issued = mark, loop.time()
         self.channel_free_at = max(self.channel_free_at, message.issued)
         lines = len(message.orders) + 1 + HEAD_LINES
-        for number, proxy in enumerate(self.parties):
+        for number, proxy in enumerate(self.proxy_states):
             if not proxy.joined:
                 continue
             self.channel_free_at += lines / self.pace.lines_per_s
-            travels_s = self.chance.uniform(self.pace.least_s, self.pace.most_s)
+            travels_s = self.chance.uniform(self.pace.min_delay_s, self.pace.max_delay_s)
             proxy.last_at = max(proxy.last_at + 1e-6, self.channel_free_at + travels_s)
             loop.call_at(proxy.last_at, self.arrive, number, proxy.stream, message)
 
@@ -154,64 +158,64 @@
 
     def arrive(self, number: int, stream: int, message: Message) -> None:
         """A message has come to a proxy; what came on an earlier stream is lost with it."""
-        if self.parties[number].stream == stream:
-            self.parties[number].inbox.append(message)
-            self.take(number, stream)
+        if self.proxy_states[number].stream == stream:
+            self.proxy_states[number].inbox.append(message)
+            self.apply_inbox(number, stream)
 
-    def take(self, number: int, stream: int) -> None:
+    def apply_inbox(self, number: int, stream: int) -> None:
         """A proxy applies what has come, in order, once it has read the store and does not stand still."""
-        proxy, loop = self.parties[number], asyncio.get_running_loop()
+        proxy, loop = self.proxy_states[number], asyncio.get_running_loop()
         if not proxy.joined or proxy.stream != stream or not proxy.has_read or not proxy.inbox:
             return
         if loop.time() < proxy.stalled_until:
-            loop.call_at(proxy.stalled_until, self.take, number, stream)
+            loop.call_at(proxy.stalled_until, self.apply_inbox, number, stream)
             return
         while proxy.inbox:
             message = proxy.inbox.popleft()
             for order, made in message.orders:
                 self.apply(proxy, order, made)
             took_ms = 1000 * (loop.time() - message.issued)
-            self.say([event("ACK", node=number, nonce=message.mark, latency=f"{took_ms:.1f}")])
-        self.look_at_picks(clock_us(), number, proxy)
+            self.send_events([event("ACK", node=number, nonce=message.mark, latency=f"{took_ms:.1f}")])
+        self.check_picks(clock_us(), number, proxy)
 
     def apply(self, proxy: Proxy, order: list[str], made: Row | None) -> None:
         """One order; a table that the store gave in a later version stays."""
         match order:
             case ["OUT", server]:
-                proxy.out.add(server)
+                proxy.withdrawn.add(server)
             case ["IN", server]:
-                proxy.out.discard(server)
+                proxy.withdrawn.discard(server)
             case [_, number, *_] if made is not None and made.version > proxy.rows[int(number)].version:
                 proxy.rows[int(number)] = made
 
     def join(self, number: int, restarted: bool = False) -> None:
         """A proxy's stream stands; it reads the store a moment later."""
-        proxy = self.parties[number]
+        proxy = self.proxy_states[number]
         if proxy.joined:
             return
         proxy.joined, proxy.has_read, proxy.joined_us = True, False, clock_us()
         proxy.stream += 1
         proxy.inbox.clear()
         if restarted:
-            proxy.rows, proxy.out = {slice_: Row(version=-1) for slice_ in self.store}, set()
-        self.say([self.joining(number, cold=int(restarted))])
-        read_s = self.chance.uniform(READ_LEAST_S, READ_MOST_S)
+            proxy.rows, proxy.withdrawn = {slice_: Row(version=-1) for slice_ in self.store}, set()
+        self.send_events([self.subscribe_event(number, cold=int(restarted))])
+        read_s = self.chance.uniform(READ_MIN_S, READ_MAX_S)
         asyncio.get_running_loop().call_later(read_s, self.read_store, number, proxy.stream)
 
     def read_store(self, number: int, stream: int) -> None:
         """A proxy has read all slices' tables."""
-        proxy, loop = self.parties[number], asyncio.get_running_loop()
+        proxy, loop = self.proxy_states[number], asyncio.get_running_loop()
         if not proxy.joined or proxy.stream != stream:
             return
         if loop.time() < proxy.stalled_until:
             loop.call_at(proxy.stalled_until, self.read_store, number, stream)
             return
         proxy.has_read, proxy.rows = True, dict(self.store)
-        self.take(number, stream)
+        self.apply_inbox(number, stream)
 
     def leave(self, number: int) -> None:
         """A proxy's stream breaks; the relay notices a little later."""
-        proxy, loop = self.parties[number], asyncio.get_running_loop()
+        proxy, loop = self.proxy_states[number], asyncio.get_running_loop()
         if not proxy.joined:
             return
         proxy.joined = False
@@ -219,11 +223,11 @@
             proxy.broken_at = loop.time()
         self.checker.parted(f"p{number}")
         notice_s = self.chance.uniform(0, self.pace.notice_s)
-        loop.call_later(notice_s, self.say, [event("CLOSED", node=number)])
+        loop.call_later(notice_s, self.send_events, [event("CLOSED", node=number)])
 
     def rejoin(self, number: int, restarted: bool, away_s: float) -> None:
         """A proxy's stream breaks and is made anew, where it stands; the relay tells one after the other."""
-        if not self.parties[number].joined:
+        if not self.proxy_states[number].joined:
             return
         self.leave(number)
         later_s = self.pace.notice_s + away_s
@@ -231,35 +235,37 @@
 
     # what is judged
 
-    def look(self, told_us: Mapping[str, int], since_us: int) -> None:
+    def check(self, draining_since_us: Mapping[str, int], since_us: int) -> None:
         """Tells the checker what each proxy could pick now; no time limit runs before `since_us`."""
         self.judged_since_us = since_us
-        for server, at_us in told_us.items():
+        for server, at_us in draining_since_us.items():
             if server not in self.checker.told:
                 self.checker.drains(at_us, server, True)
         now = clock_us()
-        for number, proxy in enumerate(self.parties):
+        for number, proxy in enumerate(self.proxy_states):
             if asyncio.get_running_loop().time() < proxy.stalled_until:
                 self.checker.parted(f"p{number}")  # it picks nothing, and sends nothing
                 continue
-            self.take(number, proxy.stream)  # what came while it stood still goes before its next request
+            self.apply_inbox(
+                number, proxy.stream
+            )  # what came while it stood still goes before its next request
             if proxy.joined:
-                self.look_at_picks(now, number, proxy)
-            self.look_at_writes(now, number, proxy)
+                self.check_picks(now, number, proxy)
+            self.check_writes(now, number, proxy)
 
-    def look_at_picks(self, now: int, number: int, proxy: Proxy) -> None:
+    def check_picks(self, now: int, number: int, proxy: Proxy) -> None:
         """Rules 1 and 3, for a proxy that has joined."""
         since_us = max(self.judged_since_us, proxy.joined_us)
         for slice_, row in proxy.rows.items():
-            reached = None if row.owner in proxy.out else row.owner
+            reached = None if row.owner in proxy.withdrawn else row.owner
             self.checker.pick(now, f"p{number}", slice_, reached, since_us)
 
-    def look_at_writes(self, now: int, number: int, proxy: Proxy) -> None:
+    def check_writes(self, now: int, number: int, proxy: Proxy) -> None:
         """Rule 2: writes go on for a lease after the stream broke, then none until the store is read."""
         lease_ends_at = proxy.broken_at + self.pace.lease_s
         if not (proxy.joined and proxy.has_read) and asyncio.get_running_loop().time() > lease_ends_at:
             return
         until_us = now + int(self.pace.linger_s * 1e6)
         for slice_, row in proxy.rows.items():
-            if row.owner is not None and row.owner not in proxy.out and row.writes:
+            if row.owner is not None and row.owner not in proxy.withdrawn and row.writes:
                 self.checker.write(now, f"p{number}", slice_, row.owner, row.step, until_us)
--- a/lapispass/standins/servers.py
+++ b/lapispass/standins/servers.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from lapispass.standins.http import Conversation, Host, Request, response
+from lapispass.standins.http import HttpConnection, HttpServer, Request, response
 
 ALIVE = response(b"ok")
-HOLLOW_AGENT = b"User-Agent: hollow"  # tells a hollow controller's probes from a real one's
+PLACEHOLDER_AGENT = b"User-Agent: hollow"  # tells a hollow controller's probes from a real one's
 
 
 @dataclass
@@ -30,30 +30,33 @@
         self.bytes_out += other.bytes_out
 
 
-def place(number: int) -> str:
+def loopback_address(number: int) -> str:
     """The loopback address of a server; 127.0.0.x and 127.1.x.y are left to others."""
     return f"127.{16 + (number >> 16)}.{number >> 8 & 255}.{number & 255}"
 
 
-class Servers(Host):
+class Servers(HttpServer):
     """Stand-ins for servers, named by who probes them."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.real, self.hollow = Probed(), Probed()
+        self.real, self.placeholder = Probed(), Probed()
         self.silent: set[str] = set()
         self.probed: set[str] = set()  # by real controllers, since the start
 
     async def listen_all(self, first: int, names: Iterable[str]) -> dict[str, str]:
         """Listens for each server, by its number from `first` on; the addresses by name."""
-        return {name: await self.listen(name, place(number)) for number, name in enumerate(names, first)}
+        return {
+            name: await self.listen(name, loopback_address(number))
+            for number, name in enumerate(names, first)
+        }
 
-    def serve(self, conversation: Conversation, request: Request) -> None:
-        probed = self.hollow if HOLLOW_AGENT in request.head else self.real
+    def serve(self, connection: HttpConnection, request: Request) -> None:
+        probed = self.placeholder if PLACEHOLDER_AGENT in request.head else self.real
         if probed is self.real:
-            self.probed.add(conversation.client)
+            self.probed.add(connection.client)
         probed.probes += 1
         probed.bytes_in += len(request.head) + 4
-        if conversation.client not in self.silent:
+        if connection.client not in self.silent:
             probed.bytes_out += len(ALIVE)
-            conversation.write(ALIVE)
+            connection.write(ALIVE)
--- a/lapispass/standins/party.py
+++ b/lapispass/standins/stream_server.py
@@ -7,7 +7,7 @@
 import h11
 
 
-class Party:
+class StreamServer:
     """A server on loopback whose connections are each in the hands of one task."""
 
     def __init__(self) -> None:
@@ -22,14 +22,14 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         try:
-            await self.meet(reader, writer)
+            await self.handle_connection(reader, writer)
         except (OSError, EOFError, h11.RemoteProtocolError, h11.LocalProtocolError, asyncio.CancelledError):
             pass  # the last one: the whole test has ended
         finally:
             self.writers.discard(writer)
             writer.transport.abort()
 
-    async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """The life of a connection."""
         raise NotImplementedError
 
@@ -44,7 +44,7 @@
         self.reset()
 
 
-async def asked(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
+async def read_request(reader: asyncio.StreamReader, state: h11.Connection) -> tuple[str, str, bytes]:
     """A whole HTTP request: method, target, body; an EOFError at the end."""
     head: h11.Request | None = None
     body = b""
@@ -65,7 +65,7 @@
             raise EOFError
 
 
-def answer(state: h11.Connection, status: int, body: str | None) -> bytes:
+def encode_response(state: h11.Connection, status: int, body: str | None) -> bytes:
     """An answer with its body, or the head of a chunked one."""
     headers = (
         [("Transfer-Encoding", "chunked")] if body is None else [("Content-Length", str(len(body.encode())))]
--- a/lapispass/standins/xds_client.py
+++ b/lapispass/standins/xds_client.py
@@ -28,8 +28,8 @@
     "lds": PREFIX + "config.listener.v3.Listener",
     "rds": PREFIX + "config.route.v3.RouteConfiguration",
 }
-KINDS = {url: kind for kind, url in URLS.items()}
-GONE = (
+KIND_BY_URL = {url: kind for kind, url in URLS.items()}
+STREAM_ERRORS = (
     GRPCError,
     StreamTerminatedError,
     OSError,
@@ -43,17 +43,17 @@
 class Faults:
     """What a client does otherwise than it should."""
 
-    slow_s: float = 0.0  # reads a response so much later, and acts on what it had until then
-    slow_eds_s: float = 0.0  # the same for assignments alone, beside what else it does
-    late_s: float = 0.0  # an acknowledgement comes so much later
-    silent: bool = False  # applies, and acknowledges nothing
-    deaf: bool = False  # neither
-    refuses: bool = False  # turns every assignment down, without applying it
-    refuses_applied: bool = False  # turns it down, and has applied it all the same
-    twice: bool = False  # acknowledges everything twice
-    wrong: bool = False  # acknowledges with another nonce first
+    read_delay_s: float = 0.0  # reads a response so much later, and acts on what it had until then
+    eds_read_delay_s: float = 0.0  # the same for assignments alone, beside what else it does
+    ack_delay_s: float = 0.0  # an acknowledgement comes so much later
+    never_acks: bool = False  # applies, and acknowledges nothing
+    ignores_responses: bool = False  # neither
+    rejects_eds: bool = False  # turns every assignment down, without applying it
+    rejects_applied_eds: bool = False  # turns it down, and has applied it all the same
+    acks_twice: bool = False  # acknowledges everything twice
+    sends_wrong_nonce: bool = False  # acknowledges with another nonce first
     ttl: bool = True
-    wait_s: float = 0.02  # before it connects again, at the least
+    reconnect_delay_s: float = 0.02  # before it connects again, at the least
 
 
 @dataclass
@@ -76,7 +76,7 @@
     updates: int = 0
     streams: int = 0
     removed: list[str] = field(default_factory=list)
-    applied: Callable[[XdsClient], None] = lambda _: None
+    on_applied: Callable[[XdsClient], None] = lambda _: None
     stream: Any = None
     channel: Channel | None = None
     slow: set[asyncio.Task[None]] = field(default_factory=set)
@@ -90,12 +90,12 @@
             self.channel = Channel(host, int(port))
             try:
                 await self.talk(self.channel)
-            except GONE:
+            except STREAM_ERRORS:
                 pass
             finally:
                 self.channel.close()
                 self.stream = None
-            await asyncio.sleep(self.faults.wait_s * (1 + chance.random()))
+            await asyncio.sleep(self.faults.reconnect_delay_s * (1 + chance.random()))
 
     def drop(self) -> None:
         """The connection is cut, at this moment."""
@@ -132,7 +132,7 @@
             while (message := await stream.recv_message()) is not None:
                 while self.frozen:
                     await asyncio.sleep(0.005)
-                if self.faults.slow_eds_s and KINDS[message.type_url] == "eds":
+                if self.faults.eds_read_delay_s and KIND_BY_URL[message.type_url] == "eds":
                     slow = asyncio.get_running_loop().create_task(self.take_later(stream, message))
                     self.slow.add(slow)
                     slow.add_done_callback(self.slow.discard)
@@ -141,41 +141,41 @@
 
     async def take_later(self, stream: Any, message: Any) -> None:
         """Assignments in a task of their own, as clients with a thread for each kind have it."""
-        await asyncio.sleep(self.faults.slow_eds_s)
+        await asyncio.sleep(self.faults.eds_read_delay_s)
         try:
             if stream is self.stream:
                 await self.take(stream, message)
-        except GONE:
+        except STREAM_ERRORS:
             pass
 
     async def take(self, stream: Any, message: Any) -> None:
         """One response."""
-        kind, faults = KINDS[message.type_url], self.faults
-        if faults.slow_s:
-            await asyncio.sleep(faults.slow_s)
-        refuses = kind == "eds" and (faults.refuses or faults.refuses_applied)
-        if not faults.deaf and not (kind == "eds" and faults.refuses):
+        kind, faults = KIND_BY_URL[message.type_url], self.faults
+        if faults.read_delay_s:
+            await asyncio.sleep(faults.read_delay_s)
+        rejects_eds = kind == "eds" and (faults.rejects_eds or faults.rejects_applied_eds)
+        if not faults.ignores_responses and not (kind == "eds" and faults.rejects_eds):
             (self.apply_delta if self.incremental else self.apply_whole)(kind, message)
             self.updates += 1
-            self.applied(self)
-        if faults.silent or faults.deaf:
+            self.on_applied(self)
+        if faults.never_acks or faults.ignores_responses:
             return
-        if faults.late_s:
-            await asyncio.sleep(faults.late_s)
+        if faults.ack_delay_s:
+            await asyncio.sleep(faults.ack_delay_s)
         answer = type(message).__name__.replace("Response", "Request")
         reply = getattr(discovery_pb2, answer)(type_url=message.type_url, response_nonce=message.nonce)
         if not self.incremental:
             reply.version_info = message.version_info
             if kind in ("eds", "rds"):
                 reply.resource_names.append("*")
-        if refuses:
+        if rejects_eds:
             reply.error_detail.message = "turned down, as scripted"
-        if faults.wrong:
+        if faults.sends_wrong_nonce:
             wrong = type(reply)()
             wrong.CopyFrom(reply)
             wrong.response_nonce = "another"
             await stream.send_message(wrong)
-        for _ in range(1 + faults.twice):
+        for _ in range(1 + faults.acks_twice):
             await stream.send_message(reply)
 
     def apply_delta(self, kind: str, message: Any) -> None:
--- a/tests/proxy_days.py
+++ b/tests/proxy_days.py
@@ -32,7 +32,7 @@
 from lapispass.standins.proxy_streams import Pace, ProxyStreams
 
 PROXIES, SLICES = 60, 30
-BARE_S, LEASE_S, LINGER_S = 20.0, 1.5, 5.0
+UNSERVED_LIMIT_S, LEASE_S, LINGER_S = 20.0, 1.5, 5.0
 REPLACED_S = 2.0  # between two servers that are replaced
 DRAINS_S = 4.0  # until a server that drains is gone
 TRAVELS_S = (0.05, 1.0)
@@ -74,19 +74,26 @@
     told = copy.deepcopy(SETTINGS)
     extra = told["extra"]
     extra["data-plane-size"], extra["key-ranges"] = PROXIES, SLICES
-    spans = {"blackhole-us": BARE_S, "lease-us": LEASE_S, "lingers-us": LINGER_S, "report-every-us": 2.0}
+    spans = {
+        "blackhole-us": UNSERVED_LIMIT_S,
+        "lease-us": LEASE_S,
+        "lingers-us": LINGER_S,
+        "report-every-us": 2.0,
+    }
     extra |= {name: int(span * factor * 1e6) for name, span in spans.items()}
     told["rules"] |= {"cold-us": int(1e6 * factor), "start-capacity": 0.85}
     return told
 
 
-class Day:
+class ProxyDay:
     """One controller through one day."""
 
     def __init__(self, seed: int, factor: float, trouble: Trouble) -> None:
         self.chance, self.factor, self.trouble = random.Random(seed), factor, trouble
         self.verdict, self.settings = Verdict(seed), settings(factor)
-        bounds = Bounds(int((BARE_S * factor + SLACK_S) * 1e6), int((GRACE_S * factor + SLACK_S) * 1e6))
+        bounds = Bounds(
+            int((UNSERVED_LIMIT_S * factor + SLACK_S) * 1e6), int((GRACE_S * factor + SLACK_S) * 1e6)
+        )
         pace = Pace(
             self.settings["extra"]["lines-per-s"],
             *(factor * travels_s for travels_s in TRAVELS_S),
@@ -102,8 +109,8 @@
         """The day; three times as long as rule 1's limit."""
         await self.fleet.open()
         await self.proxies.start()
-        self.proxies.own(self.fleet.names())
-        members = [member.told() for member in self.fleet.registry.members.values()]
+        self.proxies.set_owners(self.fleet.names())
+        members = [member.as_json() for member in self.fleet.registry.members.values()]
         try:
             async with controller(
                 folder,
@@ -116,7 +123,7 @@
                 lives = (self.read_log(running), self.judge(), self.fleet.replace(), self.break_streams())
                 tasks = [asyncio.create_task(life) for life in (*lives, self.stall())]
                 ended, _ = await asyncio.wait(
-                    tasks, timeout=3 * BARE_S * self.factor, return_when=asyncio.FIRST_EXCEPTION
+                    tasks, timeout=3 * UNSERVED_LIMIT_S * self.factor, return_when=asyncio.FIRST_EXCEPTION
                 )
                 for task in tasks:
                     task.cancel()
@@ -137,7 +144,7 @@
         """Looks at what the proxies could pick; no time limit runs in the first second."""
         since_us = clock_us() + 1_000_000
         while True:
-            self.proxies.look(self.fleet.told_us, since_us)
+            self.proxies.check(self.fleet.draining_since_us, since_us)
             await asyncio.sleep(LOOK_S)
 
     async def break_streams(self) -> None:
@@ -152,7 +159,7 @@
         while self.trouble.stalled:
             until = asyncio.get_running_loop().time() + self.trouble.stall_s * self.factor
             for number in self.chance.sample(range(PROXIES), self.trouble.stalled):
-                self.proxies.parties[number].stalled_until = until
+                self.proxies.proxy_states[number].stalled_until = until
             away_s = self.chance.uniform(*AWAY_S)
             await asyncio.sleep((self.trouble.stall_s + away_s) * self.factor)
 
@@ -165,7 +172,7 @@
 
 async def play_day(seed: int, folder: Path, trouble: Trouble, factor: float = SHORT) -> Verdict:
     """One day."""
-    return await Day(seed, factor, trouble).play(folder)
+    return await ProxyDay(seed, factor, trouble).play(folder)
 
 
 TROUBLES = (
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Day:
+class ProcessRun:
     """One process's life, as its clients and its judge see it."""
 
     running: Controller
@@ -69,7 +69,7 @@
     verdict: Verdict
     is_crowded: bool
     pauses: list[tuple[float, float]] = field(default_factory=list)
-    told_to_end: bool = False
+    is_stopping: bool = False
     due_s: float = DUE_S
     is_faulty: bool = True  # system calls fail, and the clock is stepped
     times: ProcessTimes | None = None
@@ -101,7 +101,7 @@
 class Client:
     """One connection of a sound client."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, day: ProcessRun) -> None:
         self.day, self.answered = day, 0
         self.reader: asyncio.StreamReader
         self.writer: asyncio.StreamWriter
@@ -162,7 +162,7 @@
     def judge_end(self, got: bytes) -> None:
         """The connection has ended before its answer."""
         day = self.day
-        if not day.told_to_end and not day.is_crowded:
+        if not day.is_stopping and not day.is_crowded:
             day.breach(f"ended without a reason, {got!r} had come")
         if got.count(PONG) * len(PONG) != len(got):
             day.breach(f"half an answer, or another: {got[-40:]!r}")
@@ -174,7 +174,7 @@
             self.day.breach(f"lost: {read // len(PING)} requests read, {self.answered} answered")
         self.writer.close()
 
-    async def hears_nothing(self, for_s: float) -> bool:
+    async def stays_silent(self, for_s: float) -> bool:
         """Silent for a while; False where the connection has ended, or something unasked has come."""
         try:
             async with asyncio.timeout(for_s):
@@ -185,20 +185,20 @@
             piece = b""
         if piece:
             self.day.breach(f"unasked: {piece!r}")
-        elif not self.day.told_to_end and not self.day.is_crowded:
+        elif not self.day.is_stopping and not self.day.is_crowded:
             self.day.breach("an idle connection was ended")
         return False
 
 
-async def converse(day: Day, rounds: int, last_s: float) -> None:
+async def run_clients(day: ProcessRun, rounds: int, last_s: float) -> None:
     """One client after the other, each on a connection that it keeps for some rounds."""
     chance = day.chance
-    while not day.told_to_end:
+    while not day.is_stopping:
         client = Client(day)
         try:
             await client.connect()
         except OSError:
-            if day.told_to_end:
+            if day.is_stopping:
                 return
             await asyncio.sleep(0.01)
             continue
@@ -206,12 +206,12 @@
             if not await client.ask(chance.choice((1, 1, 1, 50))):
                 break
             pause_s = chance.choice((0, 0, 0.01, 0.1, 0.5, 0.99, 1.0, 1.01, 1.99, 2.01))
-            if not await client.hears_nothing(min(pause_s, last_s) + 0.001):
+            if not await client.stays_silent(min(pause_s, last_s) + 0.001):
                 break
         client.judge()
 
 
-async def crowd(day: Day) -> None:
+async def crowd(day: ProcessRun) -> None:
     """Hundreds at once, each with a request and some silence."""
 
     async def one() -> None:
@@ -222,14 +222,14 @@
         except OSError:
             return
         if await client.ask(1):
-            await client.hears_nothing(day.chance.uniform(0, 1.0))
+            await client.stays_silent(day.chance.uniform(0, 1.0))
         client.judge()
 
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.gather(*(one() for _ in range(CROWD)))
 
 
-async def misbehave(day: Day) -> None:
+async def misbehave(day: ProcessRun) -> None:
     """Clients that send what nobody can read, or nothing: each is owed a rejection or a close."""
 
     async def one(said: bytes) -> None:
@@ -254,11 +254,11 @@
             day.breach(f"owed to {said[:20]!r}: neither rejection nor close, {got[:40]!r}")
         writer.close()
 
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.gather(*(one(day.chance.choice(GARBAGE)) for _ in range(BAD)))
 
 
-async def trouble(day: Day, until: float) -> None:
+async def trouble(day: ProcessRun, until: float) -> None:
     """A few faults at a time, clock steps, signals and short pauses."""
     loop, running, chance = asyncio.get_running_loop(), day.running, day.chance
     while loop.time() < until:
@@ -274,7 +274,7 @@
                 running.faults.clear(call)
 
 
-async def pause(day: Day) -> None:
+async def pause(day: ProcessRun) -> None:
     """The process stands still for a while."""
     loop = asyncio.get_running_loop()
     begun = loop.time()
@@ -285,13 +285,13 @@
     day.pauses[-1] = (begun, loop.time())
 
 
-async def end(day: Day, ending: Sequence[signal.Signals] = ENDING) -> None:
+async def end(day: ProcessRun, ending: Sequence[signal.Signals] = ENDING) -> None:
     """SIGTERM with other signals around it, and the kill `KILL_S` after the first one."""
     loop, running = asyncio.get_running_loop(), day.running
     begun = loop.time()
     for number in ending:
-        if number is signal.SIGTERM and not day.told_to_end:
-            day.told_to_end, begun = True, loop.time()
+        if number is signal.SIGTERM and not day.is_stopping:
+            day.is_stopping, begun = True, loop.time()
         if running.process.returncode is None:
             running.signal(number)
         await asyncio.sleep(day.chance.choice((0, 0, 0.01, 0.05)))
@@ -305,18 +305,18 @@
     day.breach_lines()
 
 
-def controllers_clients(day: Day) -> list[Coroutine[Any, Any, None]]:
+def controllers_clients(day: ProcessRun) -> list[Coroutine[Any, Any, None]]:
     """Whoever speaks with a controller at its address."""
     rounds = (day.chance.randint(1, 4), 1000)
-    clients = [converse(day, day.chance.choice(rounds), 1.2) for _ in range(CLIENTS)]
+    clients = [run_clients(day, day.chance.choice(rounds), 1.2) for _ in range(CLIENTS)]
     clients += [misbehave(day)]
     if day.is_crowded:
         clients += [crowd(day)]
     return clients
 
 
-async def life(
-    day: Day,
+async def run_process(
+    day: ProcessRun,
     clients: Sequence[Coroutine[Any, Any, None]],
     life_s: float = LIFE_S,
     ending: Sequence[signal.Signals] = ENDING,
@@ -337,7 +337,7 @@
     await asyncio.gather(watching, return_exceptions=True)
 
 
-async def read_log(day: Day) -> None:
+async def read_log(day: ProcessRun) -> None:
     """Keeps the log's pipe empty."""
     while line := await day.running.process.stderr.readline():
         day.running.lines.append(line.decode().rstrip("\n"))
@@ -353,8 +353,8 @@
         async with controller(folder, faults=faults, address=address, ready=None) as running:
             if time.monotonic() - begun > READY_S:
                 verdict.breaches.append(f"ready after {time.monotonic() - begun:.1f} s")
-            day = Day(running, chance, verdict, is_crowded)
-            await life(day, controllers_clients(day))
+            day = ProcessRun(running, chance, verdict, is_crowded)
+            await run_process(day, controllers_clients(day))
     return verdict
 
 
--- a/tests/soak_gate.py
+++ b/tests/soak_gate.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from faulty_process import Call, Faults, NotStarted, free_address, process
-from soak import CLIENTS, CROWD, GARBAGE, Day, Verdict, life, main
+from soak import CLIENTS, CROWD, GARBAGE, ProcessRun, Verdict, main, run_process
 from websockets.asyncio.server import ServerConnection
 from websockets.http11 import Request, Response
 
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class GateDay(Day):
+class GateDay(ProcessRun):
     """One run of a gate process, and the servers behind it."""
 
     file: Path = Path()
@@ -191,7 +191,7 @@
 async def keep_connected(day: GateDay, name: str) -> None:
     """Opens one connection after the other and keeps each until the gate ends it."""
     opened = 0
-    while not day.told_to_end:
+    while not day.is_stopping:
         opened += 1
         await Client(day, f"{name}.{opened}").run((0, 0, 0.01, 0.1, 0.5))
 
@@ -199,7 +199,7 @@
 async def upgrade_late(day: GateDay, name: str) -> None:
     """Opens connections that send their upgrade request after some silence, also while the gate stops."""
     rounds = 0
-    while not day.told_to_end:
+    while not day.is_stopping:
         rounds += 1
         waits_s = [day.chance.uniform(0, HEAD_S * 0.8) for _ in range(10)]
         connections = (
@@ -212,7 +212,7 @@
     """Runs a client that leaves after a while, except while the gate stops."""
     task = asyncio.create_task(connection)
     await asyncio.wait((task,), timeout=1.5)
-    if not day.told_to_end:
+    if not day.is_stopping:
         task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     if not task.cancelled():
@@ -227,7 +227,7 @@
         await leave_early(day, Client(day, f"{name}.{rounds}.{number}").run((0.2,)))
 
     rounds = 0
-    while not day.told_to_end:
+    while not day.is_stopping:
         rounds += 1
         await asyncio.gather(*(connect_one(number) for number in range(CROWD)))
 
@@ -245,16 +245,16 @@
             pass
         client.writer.close()
 
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.gather(*(send_invalid(day.chance.choice(GARBAGE)) for _ in range(10)))
 
 
 async def drain(day: GateDay) -> None:
     """Drains one of the servers and takes it back."""
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.sleep(day.chance.uniform(0.3, 1.0))
         day.write_file(day.chance.choice(("READY", "DRAINING")))
-        if not day.told_to_end:
+        if not day.is_stopping:
             day.running.signal(signal.SIGHUP)
 
 
@@ -292,7 +292,7 @@
                     ("gate", "-o", str(file)), faults, address, "event=listening", {}
                 ) as running:
                     day = GateDay(running, chance, verdict, is_crowded, file=file, nodes=nodes)
-                    await life(day, gates_clients(day, round_number))
+                    await run_process(day, gates_clients(day, round_number))
             except NotStarted as error:
                 verdict.breaches.append(f"not started: {error}")
         if twice := duplicate_writes(nodes):
--- a/tests/soak_xds.py
+++ b/tests/soak_xds.py
@@ -25,10 +25,10 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from faulty_process import Call, Faults, NotStarted, free_address
 from grpclib.client import Channel, StreamStreamMethod
-from soak import PING, Day, Verdict, life, main
+from soak import PING, ProcessRun, Verdict, main, run_process
 from xds_process import SLICES, drain, xds_controller
 
-from lapispass.standins.xds_client import ADS, GONE, URLS, XdsClient
+from lapispass.standins.xds_client import ADS, STREAM_ERRORS, URLS, XdsClient
 from lapispass.standins.xds_client import Faults as ClientFaults
 
 ANSWER_S = 3.0  # limit for a response or the end of its stream; pauses of the process do not count
@@ -62,7 +62,7 @@
 
 
 @dataclass
-class XdsDay(Day):
+class XdsDay(ProcessRun):
     """One controller process, and where its clients and those of the previous process have written."""
 
     folder: Path = Path()
@@ -89,7 +89,7 @@
             async with method.open() as stream:
                 await self.send_requests(stream, max_requests)
                 await stream.cancel()
-        except GONE:
+        except STREAM_ERRORS:
             pass
         finally:
             self.channel.close()
@@ -142,7 +142,7 @@
 async def request_on_streams(day: XdsDay, name: str) -> None:
     """Opens one stream after the other; each ends by itself or after a few requests."""
     streams = 0
-    while not day.told_to_end:
+    while not day.is_stopping:
         streams += 1
         await Requester(day, f"{name}.{streams}").run(day.chance.choice((1, 5, 1_000_000)))
         await asyncio.sleep(0.01)
@@ -150,7 +150,7 @@
 
 async def crowd(day: XdsDay) -> None:
     """Opens many streams at once, each for one request."""
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.gather(*(Requester(day, f"crowd.{number}").run(1) for number in range(CROWD)))
         await asyncio.sleep(0.1)
 
@@ -174,7 +174,7 @@
                 day.breach(f"a connection that sent {junk[:20]!r} was not closed")
         writer.close()
 
-    while not day.told_to_end:
+    while not day.is_stopping:
         await asyncio.gather(*(send(day.chance.choice(JUNK)) for _ in range(5)))
         await asyncio.sleep(0.05)
 
@@ -183,11 +183,11 @@
     """Clients that exist for the whole run: some without faults, some slow, some that reconnect late."""
     faults = [
         ClientFaults(),
-        ClientFaults(slow_s=0.05),
-        ClientFaults(wait_s=1.5),
-        ClientFaults(slow_eds_s=0.7),
-        ClientFaults(wait_s=2.5),
-        ClientFaults(late_s=0.2),
+        ClientFaults(read_delay_s=0.05),
+        ClientFaults(reconnect_delay_s=1.5),
+        ClientFaults(eds_read_delay_s=0.7),
+        ClientFaults(reconnect_delay_s=2.5),
+        ClientFaults(ack_delay_s=0.2),
     ]
     return [
         XdsClient("{}:{}".format(*address), f"w{index}", index, index % 3 != 2, faults=fault)
@@ -221,11 +221,11 @@
     """Drains the server that owns the slices and makes the other ready, each time when they have moved."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(day.chance.uniform(0.3, 0.8))
-    while not day.told_to_end:
+    while not day.is_stopping:
         owner = day.writes.last.get(0, (0.0, "n0"))[1]
         drain(day.running, day.folder, owner)
         until, moves = loop.time() + MOVE_S, day.writes.moves
-        while loop.time() < until and day.writes.moves < moves + SLICES // 2 and not day.told_to_end:
+        while loop.time() < until and day.writes.moves < moves + SLICES // 2 and not day.is_stopping:
             await asyncio.sleep(0.05)
         await asyncio.sleep(day.chance.uniform(0.1, 0.5))
 
@@ -251,7 +251,7 @@
         try:
             async with xds_controller(folder, faults, address) as running:
                 day = XdsDay(running, chance, verdict, is_crowded, folder=folder, writes=writes)
-                await life(day, clients_of(day, round_number))
+                await run_process(day, clients_of(day, round_number))
         except NotStarted as error:
             verdict.breaches.append(f"the controller did not start: {error}")
         if writes.count == before:
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -154,7 +154,7 @@
 
 def test_the_checker_finds_orders_read_late(monkeypatch) -> None:
     """As on the full fleet: slices were given, and the news of it was read 5 s later."""
-    give = World.give
+    give = World.grant_slice
 
     def late(world: World, number: int, host) -> None:
         before = len(host.events)
@@ -163,7 +163,7 @@
         process = host.process
         world.at(5000 * MS, lambda: host.process is process and host.events.extend(unread))
 
-    monkeypatch.setattr(World, "give", late)
+    monkeypatch.setattr(World, "grant_slice", late)
     found = [
         breach for seed in range(2) for breach in days.play(seed, faults=(days.roll, days.restarts)).breaches
     ]
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -169,14 +169,14 @@
     async with standalone_gate(tmp_path, 1) as env:
         answer = await asyncio.wait_for(exchange(env, sent), 2)
         assert answer.startswith(f"HTTP/1.1 {status}"), answer
-        assert not env.nodes["n0"].came and not env.gate.steering.opening
+        assert not env.nodes["n0"].accepted and not env.gate.steering.opening
 
 
 async def test_a_client_that_never_asks_is_closed_in_time_without_a_word(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 1) as env:
         assert await asyncio.wait_for(exchange(env, b""), 2) == ""
         assert env.gate.counters["screens.never_asked"] == 1
-        assert not env.nodes["n0"].came and not env.gate.steering.opening
+        assert not env.nodes["n0"].accepted and not env.gate.steering.opening
 
 
 async def test_a_handshake_that_drips_is_ended_too(tmp_path: Path) -> None:
@@ -263,7 +263,7 @@
         owners = env.gate.steering.tables.owners
         key = next(f"k{n}" for n in range(100) if owners[slice_of(f"k{n}", 12)] == node)
         till = await connect(env.url(f"/till?key={key}"))
-        env.nodes[node].die()
+        env.nodes[node].kill()
         await until(lambda: env.nodes[other].held)
         await board.send("on")
         assert await board.recv() == "on"
@@ -278,7 +278,7 @@
         board = await connect(env.url("/board"))
         node = next(name for name, node in env.nodes.items() if node.held)
         other = next(name for name in env.nodes if name != node)
-        env.nodes[node].heard = lambda _: env.nodes[node].die()  # reads the message, and dies
+        env.nodes[node].on_message = lambda _: env.nodes[node].kill()  # reads the message, and dies
         await board.send("once")
         with pytest.raises(ConnectionClosed):
             await board.recv()
@@ -303,7 +303,7 @@
 
 async def test_a_node_that_refuses_is_tried_elsewhere_only_by_a_client_without_a_key(tmp_path: Path) -> None:
     async with standalone_gate(tmp_path, 2) as env:
-        env.nodes["n0"].refuses = HTTPStatus.SERVICE_UNAVAILABLE
+        env.nodes["n0"].refuse_with = HTTPStatus.SERVICE_UNAVAILABLE
         boards = [await connect(env.url("/board")) for _ in range(6)]
         assert len(env.nodes["n1"].held) == 6
         statuses = set()
@@ -315,7 +315,7 @@
                 # The node's Retry-After header counts too.
                 assert int(error.response.headers["Retry-After"]) >= 2
         assert statuses == {503} and not env.nodes["n0"].held
-        env.nodes["n0"].refuses = HTTPStatus.FORBIDDEN  # final: no other node is asked
+        env.nodes["n0"].refuse_with = HTTPStatus.FORBIDDEN  # final: no other node is asked
         with pytest.raises(InvalidStatus) as caught:
             for _ in range(30):
                 boards.append(await connect(env.url("/board")))
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -20,8 +20,8 @@
 from lapispass.core.tables import slice_of
 from lapispass.gate import wire
 from lapispass.rules.held import Ended, drains, pushed
-from lapispass.standins.nodes import CounterNode, Strength, clock_us
-from lapispass.standins.screens import Screen
+from lapispass.standins.held_client import HeldClient
+from lapispass.standins.nodes import Capacity, CounterNode, clock_us
 from lapispass.standins.xds_client import XdsClient
 from lapispass.xds.platform_server import PlatformXdsServer
 
@@ -96,7 +96,7 @@
 
 
 async def test_a_cold_node_is_not_pushed_over_by_what_moves_to_it(tmp_path: Path) -> None:
-    strength = Strength(connections=400, new_per_s=60, cold_us=2_000 * MS, cold_share=0.2, fall_multiple=2.0)
+    strength = Capacity(connections=400, new_per_s=60, cold_us=2_000 * MS, cold_share=0.2, fall_multiple=2.0)
     nodes = {f"n{n}": CounterNode(f"n{n}", strength=strength) for n in range(3)}
     bounds = "connections: 300 new_per_s: 50 burst: 4 cold_ms: 2000 cold_share: 0.2"
     async with fleet(tmp_path, nodes, grace_ms=4000, bounds=bounds) as env:
@@ -109,7 +109,7 @@
             env.list(name, "Terminating")
         await until(lambda: not any(nodes[name].held for name in ("n0", "n1", "n2")), 15)
         peaks = {name: max(node.peak_new, node.peak_held) for name, node in env.nodes.items()}
-        fallen = [name for name, node in env.nodes.items() if node.fell_at]
+        fallen = [name for name, node in env.nodes.items() if node.overloaded_at]
         assert pushed({"n3": peaks["n3"]}, fallen, 1.5) == []
         assert all(end.code != 1006 for end in ends_at(env, "n0", "n1", "n2"))
         for board in held:
@@ -175,7 +175,7 @@
 ) -> None:
     async with fleet(tmp_path, 3, 2, grace_ms=2500, bounds=ROOMY) as env:
         screens = [
-            Screen(env.url(f"g{n % 2}", f"/till?key=k{n}"), f"s{n}", n, f"k{n}", 0.1) for n in range(40)
+            HeldClient(env.url(f"g{n % 2}", f"/till?key=k{n}"), f"s{n}", n, f"k{n}", 0.1) for n in range(40)
         ]
         running = [asyncio.create_task(screen.run()) for screen in screens]
         await until(lambda: all(screen.open for screen in screens))
--- a/tests/test_momentary_shortages.py
+++ b/tests/test_momentary_shortages.py
@@ -56,7 +56,7 @@
     proxies = Proxies(range(0, SIZE.slices, SIZE.real))
     await fleet.open()
     await proxies.start()
-    proxies.own(fleet.names())
+    proxies.set_owners(fleet.names())
     leaving = fleet.registry.members[proxies.owners[0]]
     try:
         faults.set(Call.CONNECT, errno.EADDRNOTAVAIL, times=FAILED_CONNECTS)
@@ -64,7 +64,7 @@
             folder,
             faults=faults,
             settings=WITHOUT_PROBES,
-            members=[member.told() for member in fleet.registry.members.values()],
+            members=[member.as_json() for member in fleet.registry.members.values()],
             relay=nullcontext(proxies),  # type: ignore[arg-type]
             registry=nullcontext(fleet.registry),  # type: ignore[arg-type]
         ):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -309,7 +309,7 @@
         clients = [XdsClient(host.xds_server.address, f"c{name}", 1) for name, host in stand.hosts.items()]
         running = [asyncio.create_task(client.run()) for client in clients]
         await until(lambda: all(c.writes_to(n) for c in clients for n in range(12)))
-        clients[1].faults.late_s = 0.05
+        clients[1].faults.ack_delay_s = 0.05
         stand.drain()
         await until(lambda: all(c.writes_to(n) in ("n1", "n2") for c in clients for n in range(12)), 15)
         await ended(*running)
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from proxy_days import BARE_S, PROXIES, Day, Trouble, play_day
+from proxy_days import PROXIES, UNSERVED_LIMIT_S, ProxyDay, Trouble, play_day
 
 from lapispass.rules.five import Bounds, Checker
 from lapispass.standins.nodes import clock_us
@@ -51,7 +51,7 @@
     """No new owner reaches one proxy, whose stream stands."""
 
     def apply(self, proxy: Proxy, order: list[str], made: Row | None) -> None:
-        if order[0] != "SET" or proxy is not self.parties[7]:
+        if order[0] != "SET" or proxy is not self.proxy_states[7]:
             super().apply(proxy, order, made)
 
 
@@ -60,10 +60,10 @@
 async def test_a_planted_loss_of_new_owners_is_seen_after_the_whole_time_of_rule_1(
     kind: type[ProxyStreams], whose: int, tmp_path: Path
 ) -> None:
-    day = Day(1, PLANTED, Trouble())
+    day = ProxyDay(1, PLANTED, Trouble())
     day.proxies.__class__ = kind
     verdict = await day.play(tmp_path)
-    assert verdict.longest_gap_s > BARE_S * PLANTED
+    assert verdict.longest_gap_s > UNSERVED_LIMIT_S * PLANTED
     assert len({breach.split(": ")[1] for breach in verdict.breaches}) == whose, str(verdict)
     assert all(breach.startswith("rule 1") for breach in verdict.breaches), str(verdict)
 
@@ -72,7 +72,7 @@
     """Two proxies and two slices that nobody looks at but the test."""
     checker = Checker(Bounds(bare_us, 1_500_000), int)
     proxies = ProxyStreams(range(2), 2, Pace(1e6, 0.0, 0.01, 0.1, 2.0, "pay", 0.0), checker, random.Random(1))
-    proxies.own(["a", "b"])
+    proxies.set_owners(["a", "b"])
     return proxies
 
 
@@ -91,24 +91,24 @@
 async def test_the_judge_counts_from_the_last_line_that_is_not_shut_out(orders: tuple[str, ...]) -> None:
     proxies = streams(bare_us=100_000)
     await order(proxies, *orders)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert not broken(proxies)
     await asyncio.sleep(0.15)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert broken(proxies) == {("1", "p0"), ("1", "p1")}
 
 
 async def test_the_judge_does_not_count_for_a_proxy_that_has_left_or_has_a_line_again() -> None:
     proxies = streams(bare_us=450_000)
     await order(proxies, "OUT,a")
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     proxies.leave(0)
     await asyncio.sleep(0.15)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     await order(proxies, "IN,a")
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     await asyncio.sleep(0.4)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert not broken(proxies)
 
 
@@ -120,10 +120,10 @@
         proxies.join(number, restarted)
     await asyncio.sleep(0.55)
     await order(proxies, "LIMIT,0,look,1.0,1")
-    assert [proxy.out for proxy in proxies.parties] == [{"a"}, set()]
-    proxies.look({}, 0)
+    assert [proxy.withdrawn for proxy in proxies.proxy_states] == [{"a"}, set()]
+    proxies.check({}, 0)
     await asyncio.sleep(0.15)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert broken(proxies) == {("1", "p0")}
 
 
@@ -131,21 +131,21 @@
     proxies = streams()
     proxies.leave(0)
     await order(proxies, "SET,0,b,1.0")
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert broken(proxies) == {("2", "p1")}  # p0 goes on with what it holds
     proxies = streams()
     proxies.leave(0)
     await order(proxies, "SET,0,b,1.0")
     await asyncio.sleep(0.1)
-    proxies.look({}, 0)
+    proxies.check({}, 0)
     assert not broken(proxies)
 
 
 async def test_the_judge_sees_a_drain_that_is_not_kept() -> None:
     proxies = streams()
-    proxies.look({"a": clock_us() - 1_600_000}, 0)
+    proxies.check({"a": clock_us() - 1_600_000}, 0)
     assert broken(proxies) == {("3", "p0"), ("3", "p1")}
     proxies = streams()
     await order(proxies, "OUT,a")
-    proxies.look({"a": clock_us() - 1_600_000}, 0)
+    proxies.check({"a": clock_us() - 1_600_000}, 0)
     assert not broken(proxies)
--- a/tests/test_scale_rules.py
+++ b/tests/test_scale_rules.py
@@ -17,8 +17,8 @@
 from lapispass.lab.scale.samples import HOLLOW, Cost, Rates, Sample, costs, mean_pace, rates
 from lapispass.lab.scale.size import BadSize, Size
 from lapispass.lab.scale.system import Usage
-from lapispass.standins.hollow import Hollow, Listener, Places
 from lapispass.standins.http import Traffic
+from lapispass.standins.placeholder import Endpoints, PlaceholderController, RawConnection
 from lapispass.standins.platform import Member, Registry
 from lapispass.standins.servers import Probed
 
@@ -233,11 +233,11 @@
 def test_a_hollow_controller_finds_the_revision_however_its_bytes_are_cut() -> None:
     text = b'5c\r\n{"revision":41,"complete":false,"members":[{"id":"s-1","phase":"Ready"}]}\n\r\n'
     for cut in range(1, len(text)):
-        hollow = Hollow(Places("", "", ()), random.Random(1))
-        link = Listener(b"", hollow.note, lambda gone: None)
-        hollow.note(link, text[:cut])
-        hollow.note(link, text[cut:])
-        assert hollow.revision == 41 and hollow.heard_us > 0
+        hollow = PlaceholderController(Endpoints("", "", ()), random.Random(1))
+        link = RawConnection(b"", hollow.note_revision, lambda gone: None)
+        hollow.note_revision(link, text[:cut])
+        hollow.note_revision(link, text[cut:])
+        assert hollow.revision == 41 and hollow.updated_us > 0
 
 
 def test_a_hollow_controller_does_as_the_real_ones_in_the_mean() -> None:
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -14,8 +14,8 @@
 from lapispass.lab.scale.messages import Change, Told, WatchLeft
 from lapispass.lab.scale.stand_in import CountedRelay, RegistryStandIn, RelayStandIn
 from lapispass.standins.collectors import Collectors, Load
-from lapispass.standins.hollow import Herd, Pace, Places, request
 from lapispass.standins.nodes import clock_us
+from lapispass.standins.placeholder import Endpoints, Pace, PlaceholderGroup, request
 from lapispass.standins.platform import Member, Registry, Relay
 from lapispass.standins.servers import Servers
 
@@ -47,11 +47,11 @@
 
 
 async def test_answers_to_a_mark_of_one_controller_of_many_go_to_one_stream_in_turn() -> None:
-    relay = Relay(4, proxies=4, answer_s=0.001, zones=ZONES)
+    relay = Relay(4, proxies=4, ack_delay_s=0.001, zones=ZONES)
     relay.shared.add("many")
     address = await relay.listen("many")
     clients = [await Client.open(address, NEWS) for _ in range(2)]
-    await until(lambda: len(relay.news.get("many", [])) == 2)
+    await until(lambda: len(relay.event_streams.get("many", [])) == 2)
     call = request("POST", "/", b"Action=ApplyOrders&orders=SYNC%2C7%2C1%3BSYNC%2C8%2C1")
     caller = await Client.open(address, call)
     await until(lambda: all(each.said.count(b"event: ACK") == 4 for each in clients))
@@ -63,14 +63,14 @@
 
 
 async def test_proxies_of_a_lost_zone_leave_answer_nothing_and_come_back_cold() -> None:
-    relay = Relay(1, proxies=4, answer_s=0.001, zones=ZONES)
+    relay = Relay(1, proxies=4, ack_delay_s=0.001, zones=ZONES)
     address = await relay.listen("one")
     client = await Client.open(address, NEWS)
     await until(lambda: client.said.count(b"event: SUBSCRIBE") == 4)
-    relay.part("b")
+    relay.disconnect_zone("b")
     relay.carry_out(["SYNC", "7", "1"], "one")
     await until(lambda: client.said.count(b"event: ACK") == 2)
-    relay.join_cold("b")
+    relay.rejoin_cold("b")
     await until(lambda: client.said.count(b"cold=1") == 2)
     assert client.said.count(b"event: CLOSED") == 2
     closed = [line for line in client.said.split(b"\n") if line.startswith(b"data: node=")]
@@ -81,16 +81,16 @@
 
 async def test_a_stream_that_is_left_unread_is_reset() -> None:
     relay = Relay(1)
-    relay.unread_most = 100_000
+    relay.unread_limit = 100_000
     host, _, port = (await relay.listen("one")).rpartition(":")
     _, writer = await asyncio.open_connection(host, int(port), limit=1000)
     writer.write(NEWS)
-    await until(lambda: relay.news.get("one"))
+    await until(lambda: relay.event_streams.get("one"))
     for _ in range(200):
-        relay.say([b"x" * 100_000], "one")
+        relay.send_events([b"x" * 100_000], "one")
         await asyncio.sleep(0)
-    await until(lambda: not relay.open)
-    assert not relay.news["one"]
+    await until(lambda: not relay.open_connections)
+    assert not relay.event_streams["one"]
     writer.transport.abort()
     relay.stop()
 
@@ -98,7 +98,7 @@
 async def test_a_withdrawal_and_its_end_are_noted_at_the_client_that_is_watched() -> None:
     stand_in = RelayStandIn()
     stand_in.relay = relay = CountedRelay(4, 0, ZONES)
-    relay.charges.update({"one": [0, 1], "other": [2]})
+    relay.granted.update({"one": [0, 1], "other": [2]})
     for number in range(3):
         relay.carry_out(["SET", str(number), "s-0", "1"], "one" if number < 2 else "other")
     await stand_in.carry_out(WatchLeft({"one": "s-0", "other": "s-0"}))
@@ -113,7 +113,7 @@
 
 def test_collectors_report_requests_by_zone_and_failures_where_servers_are_lost() -> None:
     relay = Relay(4, zones=ZONES)
-    relay.charges["one"] = [0, 1]
+    relay.granted["one"] = [0, 1]
     relay.owners.update({0: "s-0", 1: "s-0"})
     collectors = Collectors(relay, Load(800.0, ("look", "pay")), 1)
     lines = collectors.lines("one", "a")  # 800 over 4 slices, 2 zones, 2 classes
@@ -159,7 +159,7 @@
     writers: list[asyncio.StreamWriter] = []
     taken = await asyncio.start_server(lambda reader, writer: writers.append(writer), "127.0.0.1", 0)
     relay = Relay(4, zones=tuple("abcd"))
-    relay.charges["one"] = [0]
+    relay.granted["one"] = [0]
     collectors = Collectors(relay, Load(800.0, ("look",), interval_s=0.2), 1)
     loop, sent = asyncio.get_running_loop(), defaultdict(list)
 
@@ -174,7 +174,7 @@
     sent.clear()
     await until(lambda: len(sent) == 4 and min(map(len, sent.values())) >= 5)
     collectors.stop()
-    await asyncio.gather(*collectors.lives, return_exceptions=True)
+    await asyncio.gather(*collectors.tasks, return_exceptions=True)
     taken.close()
     for writer in writers:
         writer.transport.abort()
@@ -188,16 +188,18 @@
     relay.shared.add("hollow")
     addresses = await servers.listen_all(0, ["s-0", "s-1"])
     registry.members = {name: Member(name, address) for name, address in addresses.items()}
-    places = Places(await registry.listen("hollow"), await relay.listen("hollow"), tuple(addresses.values()))
-    herd = Herd(5, places, seed=1)
+    places = Endpoints(
+        await registry.listen("hollow"), await relay.listen("hollow"), tuple(addresses.values())
+    )
+    herd = PlaceholderGroup(5, places, seed=1)
     herd.begin(0.05)
-    await until(lambda: len(herd.standing()) == 5)
-    assert len(registry.watches) == 5 and len(relay.news["hollow"]) == 5
+    await until(lambda: len(herd.connected_times()) == 5)
+    assert len(registry.watches) == 5 and len(relay.event_streams["hollow"]) == 5
     registry.change(Member("s-0", addresses["s-0"], phase="Terminating"))
-    await until(lambda: len(herd.heard(registry.revision)) == 5)
+    await until(lambda: len(herd.update_times(registry.revision)) == 5)
     herd.pace = Pace(calls=10.0, marks=1.0, orders=2.0, probes=20.0, watches=2.0)
     began, seen = asyncio.get_running_loop().time(), registry.traffic["hollow"].calls
-    await until(lambda: servers.hollow.probes >= 100)
+    await until(lambda: servers.placeholder.probes >= 100)
     took_s = asyncio.get_running_loop().time() - began
     assert took_s >= 0.9  # 100 probes of 5 controllers at 20 a second each
     assert registry.traffic["hollow"].calls > seen and "SYNC" in relay.orders[-1]
@@ -212,10 +214,10 @@
 
 
 def test_chance_of_hollow_controllers_follows_the_seed() -> None:
-    herds = [Herd(3, Places("", "", ()), seed=7) for _ in range(2)]
+    herds = [PlaceholderGroup(3, Endpoints("", "", ()), seed=7) for _ in range(2)]
     for herd in herds:
         herd.pace = Pace(calls=100.0, marks=0.5, orders=1.5)
-    first, second = ([herd.orders() for _ in range(20)] for herd in herds)
+    first, second = ([herd.make_orders() for _ in range(20)] for herd in herds)
     assert first == second
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,7 +10,7 @@
 import pytest
 from faulty_process import PORT_COUNT, RECORD, Call, Faults
 from parties import LoopbackServer, play
-from soak import PING, PONG, Client, Day, Verdict, play_day
+from soak import PING, PONG, Client, ProcessRun, Verdict, play_day
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -23,9 +23,9 @@
     play(test(), 90)
 
 
-def day(faults: Faults, due_s: float = 1.0) -> Day:
+def day(faults: Faults, due_s: float = 1.0) -> ProcessRun:
     running = SimpleNamespace(faults=faults, lines=[])
-    return Day(running, random.Random(1), Verdict(1), False, due_s=due_s)  # type: ignore[arg-type]
+    return ProcessRun(running, random.Random(1), Verdict(1), False, due_s=due_s)  # type: ignore[arg-type]
 
 
 def test_the_judge_sees_a_request_that_was_read_and_not_answered(tmp_path: Path) -> None:
@@ -67,7 +67,7 @@
             client = Client(judged)
             await client.connect()
             if await client.ask(1):
-                await client.hears_nothing(0.05)
+                await client.stays_silent(0.05)
             client.judge()
         found = " ".join(judged.verdict.breaches)
         assert breach in found if breach else not found
--- a/tests/test_two_controllers.py
+++ b/tests/test_two_controllers.py
@@ -28,7 +28,7 @@
 
 def proxies() -> Proxies:
     made = Proxies(range(0, SIZE.slices, 2))
-    made.own(["s-0", "s-1", "s-2", "s-3"])
+    made.set_owners(["s-0", "s-1", "s-2", "s-3"])
     return made
 
 
@@ -39,12 +39,12 @@
 def test_the_judge_sees_a_server_that_is_not_withdrawn_in_time() -> None:
     async def test() -> None:
         judged, now = proxies(), clock_us()
-        judged.look({"s-0": now - WITHDRAWN_US + 100_000}, 0)
+        judged.check({"s-0": now - WITHDRAWN_US + 100_000}, 0)
         assert not broken(judged)
         late = {"s-0": now - WITHDRAWN_US - 100_000, "s-1": now - WITHDRAWN_US - 100_000}
-        judged.look(late, 0)
+        judged.check(late, 0)
         assert broken(judged) == ["drain"]  # s-1 owns no slice here: slices with an even number are given
-        judged.look(late, 0)
+        judged.check(late, 0)
         assert broken(judged) == ["drain"]
 
     play(test())
@@ -53,12 +53,12 @@
 def test_no_time_limit_runs_before_the_start_and_none_for_a_server_that_is_withdrawn() -> None:
     async def test() -> None:
         judged, now = proxies(), clock_us()
-        judged.look({"s-0": now - 10 * WITHDRAWN_US}, now)
+        judged.check({"s-0": now - 10 * WITHDRAWN_US}, now)
         assert not broken(judged)
         judged = proxies()
         judged.carry_out(["OUT", "s-2"])
         await asyncio.sleep(3 * ANSWER_S)
-        judged.look({"s-2": now - 10 * WITHDRAWN_US}, 0)
+        judged.check({"s-2": now - 10 * WITHDRAWN_US}, 0)
         assert not broken(judged)
 
     play(test())
@@ -75,12 +75,12 @@
 def test_the_judge_sees_writes_at_two_owners(orders: list[list[str]], rules: set[str]) -> None:
     async def test() -> None:
         judged = proxies()
-        judged.look({}, 0)
+        judged.check({}, 0)
         for order in orders:
             judged.carry_out(order)
             for zone in ZONES:
                 judged.apply(zone)
-        judged.look({}, 0)
+        judged.check({}, 0)
         assert set(broken(judged)) == rules
         for zone in ZONES:  # the timers that were set find nothing under way
             judged.under_way[zone].extend([["SYNC", "0", "1"]] * len(orders))
--- a/tests/test_xds.py
+++ b/tests/test_xds.py
@@ -93,7 +93,13 @@
 
 
 @pytest.mark.parametrize(
-    "faults", [Faults(silent=True), Faults(deaf=True), Faults(refuses=True), Faults(refuses_applied=True)]
+    "faults",
+    [
+        Faults(never_acks=True),
+        Faults(ignores_responses=True),
+        Faults(rejects_eds=True),
+        Faults(rejects_applied_eds=True),
+    ],
 )
 def test_a_client_that_does_not_acknowledge_delays_handovers_only_briefly(
     tmp_path: Path, faults: Faults
@@ -130,7 +136,7 @@
 def test_a_client_that_loses_its_stream_stops_writing_within_the_lease_and_reads_on(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            client = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(wait_s=5.0))
+            client = XdsClient(host.xds_server.address, "c0", 1, faults=Faults(reconnect_delay_s=5.0))
             async with clients(client):
                 await until(lambda: client.writes_to(0))
                 client.drop()
@@ -184,8 +190,8 @@
 def test_two_streams_of_one_node_the_newer_one_stays(tmp_path: Path) -> None:
     async def test() -> None:
         async with controller(tmp_path) as host:
-            first = XdsClient(host.xds_server.address, "same", 1, faults=Faults(wait_s=5.0))
-            second = XdsClient(host.xds_server.address, "same", 2, faults=Faults(wait_s=5.0))
+            first = XdsClient(host.xds_server.address, "same", 1, faults=Faults(reconnect_delay_s=5.0))
+            second = XdsClient(host.xds_server.address, "same", 2, faults=Faults(reconnect_delay_s=5.0))
             async with clients(first):
                 await until(lambda: first.writes_to(0))
                 number = host.xds_server.clients["same"][0].proxy_number
@@ -221,7 +227,8 @@
     async def test() -> None:
         async with controller(tmp_path, rate=40) as host:
             many = [
-                XdsClient(host.xds_server.address, f"c{n}", n, faults=Faults(wait_s=0.3)) for n in range(120)
+                XdsClient(host.xds_server.address, f"c{n}", n, faults=Faults(reconnect_delay_s=0.3))
+                for n in range(120)
             ]
             async with clients(*many):
                 await until(lambda: all(client.reads_from(0) for client in many), 20)
--- a/tests/test_xds_late_readers.py
+++ b/tests/test_xds_late_readers.py
@@ -11,7 +11,7 @@
 from test_xds import clients, controller, drain
 
 from lapispass.core.clients import WRITES
-from lapispass.standins.xds_client import KINDS, XdsClient
+from lapispass.standins.xds_client import KIND_BY_URL, XdsClient
 from lapispass.xds.host import Host
 
 SLICES = range(6)
@@ -25,17 +25,17 @@
 
     async def take(self, stream: Any, message: Any) -> None:
         grants = [resource.name for resource in message.resources if resource.HasField("resource")]
-        is_grant = KINDS[message.type_url] == "lds" and WRITES in grants
+        is_grant = KIND_BY_URL[message.type_url] == "lds" and WRITES in grants
         if is_grant and self.streams == 2:
             self.is_paused = self.frozen = True
             while self.frozen:
                 await asyncio.sleep(0.005)
-            self.applied = self.record_picks
+            self.on_applied = self.record_picks
         await super().take(stream, message)
 
     def record_picks(self, _: XdsClient) -> None:
         self.picks = tuple(self.writes_to(number) for number in SLICES)
-        self.applied = lambda _: None
+        self.on_applied = lambda _: None
 
 
 async def pause_at_grant(host: Host, client: PausedAtGrant) -> None:
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -27,7 +27,7 @@
 
 from faulty_process import Controller, Faults, controller, free_address
 from rule_world import changed
-from soak import DUE_S, Day, Verdict, controllers_clients, life
+from soak import DUE_S, ProcessRun, Verdict, controllers_clients, run_process
 
 from lapispass import deployment
 from lapispass.lab.scale import settings
@@ -41,13 +41,13 @@
 SIZE = Size(servers=30, services=1, slices=60, held=30, zones=2, proxies=150, real=2, hollow=0)
 ZONES = SIZE.zone_names
 SETTINGS = json.loads(settings.configuration(SIZE, 1, "127.0.0.1:1"))["settings"]
-TOLD = deployment.read(SETTINGS)
+DEPLOYMENT = deployment.read(SETTINGS)
 ENDING = (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGTERM)
-LIVES, LIFE_S = 2, 5.0
+INCARNATIONS, LIFE_S = 2, 5.0
 READY_S = 10.0  # for a start
 REPLACED_S = 1.0  # between two servers that are replaced
 DRAINS_S = 3.0  # until a server that drains is gone
-REPORTS = Load(3000.0, tuple(kind.name for kind in TOLD.classes), interval_s=2.0)
+REPORTS = Load(3000.0, tuple(kind.name for kind in DEPLOYMENT.classes), interval_s=2.0)
 ANSWER_S = 0.02  # until proxies have applied what is ordered
 WITHDRAWN_US = 1_500_000  # for a server that drains to be withdrawn
 SLACK_US = 300_000  # for proxies, by the protocol's page
@@ -61,19 +61,19 @@
 
     def __init__(self, slices: range) -> None:
         super().__init__(SIZE.slices, SIZE.proxies, ANSWER_S, ZONES)
-        self.charges[""] = slices
-        self.checker = Checker(Bounds(TOLD.unserved_limit_us + SLACK_US, WITHDRAWN_US + SLACK_US), int)
+        self.granted[""] = slices
+        self.checker = Checker(Bounds(DEPLOYMENT.unserved_limit_us + SLACK_US, WITHDRAWN_US + SLACK_US), int)
         self.tables: dict[str, dict[int, tuple[str | None, bool]]] = {zone: {} for zone in ZONES}
-        self.out: dict[str, set[str]] = {zone: set() for zone in ZONES}
+        self.withdrawn: dict[str, set[str]] = {zone: set() for zone in ZONES}
         self.steps: dict[str, dict[int, int]] = {zone: dict.fromkeys(slices, 0) for zone in ZONES}
         self.under_way: dict[str, deque[list[str]]] = {zone: deque() for zone in ZONES}
         self.ordered_out: set[str] = set()
         self.drained: set[str] = set()  # servers whose withdrawal came late, told once
         self.slowest_withdrawal_us = 0
 
-    def own(self, servers: list[str]) -> None:
+    def set_owners(self, servers: list[str]) -> None:
         """What stands before the first controller."""
-        for number in self.charges[""]:
+        for number in self.granted[""]:
             self.owners[number] = servers[number % len(servers)]
             for zone in ZONES:
                 self.tables[zone][number] = self.owners[number], True
@@ -82,7 +82,7 @@
         loop = asyncio.get_running_loop()
         for place, zone in enumerate(ZONES):
             self.under_way[zone].append(order)
-            loop.call_later(self.answer_s * (1 + place / len(ZONES)), self.apply, zone)
+            loop.call_later(self.ack_delay_s * (1 + place / len(ZONES)), self.apply, zone)
         match order:
             case ["OUT", server]:
                 self.ordered_out.add(server)
@@ -93,28 +93,30 @@
     def apply(self, zone: str) -> None:
         """The next order reaches the proxies of a zone."""
         order = self.under_way[zone].popleft()
-        changed(self.tables[zone], self.out[zone], ",".join(order))
+        changed(self.tables[zone], self.withdrawn[zone], ",".join(order))
         if order[0] in ("SET", "DEL"):
             self.steps[zone][int(order[1])] += 1
 
     def rejoin(self, chance: random.Random) -> None:
         """A proxy's stream breaks and is made again."""
         proxy = chance.randrange(self.proxies)
-        self.say([event("CLOSED", node=proxy), self.joining(proxy, cold=chance.choice((0, 1)))])
+        self.send_events(
+            [event("CLOSED", node=proxy), self.subscribe_event(proxy, cold=chance.choice((0, 1)))]
+        )
 
-    def look(self, told_us: dict[str, int], since_us: int) -> None:
+    def check(self, draining_since_us: dict[str, int], since_us: int) -> None:
         """Judges what proxies hold now; no time limit runs before `since_us`."""
         now, checker = clock_us(), self.checker
-        for server, at_us in told_us.items():
+        for server, at_us in draining_since_us.items():
             if server not in checker.told:
                 checker.drains(at_us, server, True)
             self.judge_withdrawal(now, server, max(at_us, since_us))
         for zone in ZONES:
             for number, (owner, is_open) in self.tables[zone].items():
-                reached = owner if owner not in self.out[zone] else None
+                reached = owner if owner not in self.withdrawn[zone] else None
                 checker.pick(now, zone, number, reached, since_us)
                 if reached is not None and is_open:
-                    until_us = now + TOLD.linger_us
+                    until_us = now + DEPLOYMENT.linger_us
                     checker.write(now, zone, number, reached, self.steps[zone][number], until_us)
 
     def judge_withdrawal(self, now: int, server: str, since_us: int) -> None:
@@ -140,7 +142,7 @@
     ) -> None:
         self.chance, self.replaced_s, self.drains_s = chance, replaced_s, drains_s
         self.registry, self.servers = Registry(), Servers()
-        self.told_us: dict[str, int] = {}  # servers that drain: since when the list says so
+        self.draining_since_us: dict[str, int] = {}  # servers that drain: since when the list says so
         self.started = 0
 
     async def open(self) -> None:
@@ -167,7 +169,7 @@
             leaving = self.chance.choice(ready[: SIZE.servers // 2])
             new = await self.server(up_since_ms=time.time_ns() // 1_000_000)
             leaving.phase = "Terminating"
-            self.told_us[leaving.id] = clock_us()
+            self.draining_since_us[leaving.id] = clock_us()
             self.registry.change(leaving, new)
             loop.call_later(self.drains_s, self.gone, leaving)
 
@@ -194,16 +196,16 @@
         self.faults = Faults(folder / "faults")
         self.collectors = Collectors(self.proxies, REPORTS, seed)
 
-    async def live(self, after_s: float, life_s: float) -> None:
+    async def run_incarnations(self, after_s: float, life_s: float) -> None:
         """Its lives, one after the other at one address."""
         await self.proxies.start()
-        self.proxies.own(self.fleet.names())
-        known = [member.told() for member in self.fleet.registry.members.values()]
+        self.proxies.set_owners(self.fleet.names())
+        known = [member.as_json() for member in self.fleet.registry.members.values()]
         self.collectors.report_to("", "{}:{}".format(*self.address))
         loop = asyncio.get_running_loop()
         try:
             await asyncio.sleep(after_s)
-            for number in range(LIVES):
+            for number in range(INCARNATIONS):
                 begun = loop.time()
                 async with controller(
                     self.folder,
@@ -217,33 +219,35 @@
                 ) as running:
                     if loop.time() - begun > READY_S:
                         self.verdict.breaches.append(f"ready after {loop.time() - begun:.1f} s")
-                    await self.one_life(running, life_s)
+                    await self.run_incarnation(running, life_s)
                     self.keep_log(running, number)
         except (TimeoutError, AssertionError) as error:  # it never came to be ready
             self.verdict.breaches.append(f"{self.folder.name}: no start: {error}")
         finally:
             self.collectors.stop()
-            await asyncio.gather(*self.collectors.lives, return_exceptions=True)
+            await asyncio.gather(*self.collectors.tasks, return_exceptions=True)
             self.proxies.stop()
 
-    async def one_life(self, running: Controller, life_s: float) -> None:
+    async def run_incarnation(self, running: Controller, life_s: float) -> None:
         """One process, from its start to its end."""
-        day = Day(running, self.chance, self.verdict, self.is_crowded, due_s=DUE_S, is_faulty=self.is_faulty)
+        day = ProcessRun(
+            running, self.chance, self.verdict, self.is_crowded, due_s=DUE_S, is_faulty=self.is_faulty
+        )
         judging = [asyncio.create_task(one) for one in (self.judge(day), self.churn())]
         try:
-            await life(day, controllers_clients(day), life_s, ENDING)
+            await run_process(day, controllers_clients(day), life_s, ENDING)
         finally:
             for task in judging:
                 task.cancel()
             await asyncio.gather(*judging, return_exceptions=True)
             self.proxies.stop_judging()
 
-    async def judge(self, day: Day) -> None:
+    async def judge(self, day: ProcessRun) -> None:
         """Looks at what proxies hold until the process is told to end."""
         ready_us = clock_us() + int(GRACE_AT_START_S * 1e6)
-        while not day.told_to_end:
+        while not day.is_stopping:
             paused = [int(end * 1e6) for _, end in day.pauses]
-            self.proxies.look(self.fleet.told_us, max([ready_us, *paused]))
+            self.proxies.check(self.fleet.draining_since_us, max([ready_us, *paused]))
             await asyncio.sleep(LOOK_S)
 
     async def churn(self) -> None:
@@ -271,7 +275,9 @@
     sides = [Side(fleet, place, chance.randrange(1 << 30), verdict, folder / f"n{place}") for place in (0, 1)]
     replacing = asyncio.create_task(fleet.replace())
     try:
-        await asyncio.gather(*(side.live(life_s / 2 * place, life_s) for place, side in enumerate(sides)))
+        await asyncio.gather(
+            *(side.run_incarnations(life_s / 2 * place, life_s) for place, side in enumerate(sides))
+        )
     finally:
         replacing.cancel()
         await asyncio.gather(replacing, return_exceptions=True)
