--- a/benchmarks/held.py
+++ b/benchmarks/held.py
@@ -52,7 +52,7 @@
     """Counter nodes, told by the pipe: a name starts that node cold, 'figures' asks for what they saw."""
 
     async def life() -> None:
-        nodes = {name: await CounterNode(name, strength=strength).start() for name in names}
+        nodes = {name: await CounterNode(name, capacity=strength).start() for name in names}
         pipe.send({name: node.address for name, node in nodes.items()})
         loop = asyncio.get_running_loop()
         while (asked := await loop.run_in_executor(None, pipe.recv)) != "end":
@@ -64,7 +64,7 @@
             elif asked == "counts":
                 pipe.send({name: len(node.held) for name, node in nodes.items()})
             else:
-                nodes[asked] = await CounterNode(asked, strength=strength).start(cold=True)
+                nodes[asked] = await CounterNode(asked, capacity=strength).start(cold=True)
                 pipe.send(nodes[asked].address)
 
     asyncio.run(life())
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -350,7 +350,7 @@
         name = str(entry.backend)
         if entry.state == "ready":
             host.draining_since.pop(name, None)
-            host.start_known_at.setdefault(f"{name} {entry.started_us}", self.now)
+            host.start_seen_at.setdefault(f"{name} {entry.started_us}", self.now)
         else:
             host.draining_since.setdefault(name, self.now)
 
--- a/lapispass/standins/fleet_parties.py
+++ b/lapispass/standins/fleet_parties.py
@@ -118,7 +118,7 @@
     draining_since: dict[str, int] = field(
         default_factory=dict
     )  # unfit servers, since when this host was told
-    start_known_at: dict[str, int] = field(
+    start_seen_at: dict[str, int] = field(
         default_factory=dict
     )  # cold servers, since when it was told of their start
     lines_written: float = 0.0  # lines into the channel
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -228,11 +228,13 @@
         warmth = server.warmth(self.world.deployment, self.world.now)
         if warmth >= 1:
             return
-        fresh = (
-            None if charge is None else self.world.hosts[charge].start_known_at.get(f"{name} {server.started_at}")
+        seen_at = (
+            None
+            if charge is None
+            else self.world.hosts[charge].start_seen_at.get(f"{name} {server.started_at}")
         )
-        knows = stream is not None and fresh is not None and stream.applied >= fresh
-        if fresh is None or not (knows or self.world.now - fresh > self.world.judge.bounds.grace_us):
+        knows = stream is not None and seen_at is not None and stream.applied >= seen_at
+        if seen_at is None or not (knows or self.world.now - seen_at > self.world.judge.bounds.grace_us):
             return
         server.recent_requests.append(self.world.now)
         while server.recent_requests[0] <= self.world.now - COLD_WINDOW:
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -97,11 +97,11 @@
 
 async def test_a_cold_node_is_not_pushed_over_by_what_moves_to_it(tmp_path: Path) -> None:
     strength = Capacity(connections=400, new_per_s=60, cold_us=2_000 * MS, cold_share=0.2, fall_multiple=2.0)
-    nodes = {f"n{n}": CounterNode(f"n{n}", strength=strength) for n in range(3)}
+    nodes = {f"n{n}": CounterNode(f"n{n}", capacity=strength) for n in range(3)}
     bounds = "connections: 300 new_per_s: 50 burst: 4 cold_ms: 2000 cold_share: 0.2"
     async with fleet(tmp_path, nodes, grace_ms=4000, bounds=bounds) as env:
         held = await open_boards(env, 60)
-        cold = CounterNode("n3", strength=strength)
+        cold = CounterNode("n3", capacity=strength)
         await cold.start(cold=True)
         env.nodes["n3"] = cold
         env.list("n3", "Ready", up_since_ms=time.time_ns() // 1_000_000)
