--- a/lapispass/lab/fleet.py
+++ b/lapispass/lab/fleet.py
@@ -1,7 +1,7 @@
-"""Days of a whole fleet in simulated time: drawn from a seed, judged by what passes, with one verdict.
+"""Simulated runs ("days") of a whole fleet, checked against the rules, with one verdict at the end.
 
-Each seed draws a day from the faults below, so that several fall together. The same seed and size play the
-same day.
+Each seed draws two to four of the faults below, which overlap in time. The same seed and size give the same
+day. The name of a fault function seeds its random draws.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from lapispass.standins.fleet_parties import MS, SECOND, Size
 
 Fault = Callable[[World, Callable[[str], None]], None]
-LENGTH_S = 66.0  # over three times as long as rule 1 allows in these days' settings
-FAULTS_END_S = 44.0  # what lasts longest has begun by then, and each rule's time can pass after it
-BEGIN_S = (2.0, 14.0)  # of a single fault
-SHORT_S, LONG_S = (1.0, 8.0), (8.0, 25.0)  # how long it lasts: up to past the longest limit
+LENGTH_S = 66.0  # over three times the limit of rule 1 in this deployment
+FAULTS_END_S = 44.0  # repeated faults stop here, which leaves time for every rule's limit to pass
+BEGIN_S = (2.0, 14.0)  # start time of a single fault
+SHORT_S, LONG_S = (1.0, 8.0), (8.0, 25.0)  # duration of a fault; the longest exceeds the longest limit
 
 
 @dataclass
 class Verdict:
-    """What a day showed."""
+    """The result of a day."""
 
     seed: int
     breaches: list[str]
@@ -37,16 +37,16 @@
     worst_bare_us: int
     worst_drain_us: int
     peak_cold: float
-    seen: tuple[int, ...] = ()  # what the parties saw, in figures: a fault that changes none has not happened
+    seen: tuple[int, ...] = ()  # counts from `World.seen`; a fault that changes none had no effect
 
 
 def lasts_s(world: World) -> float:
-    """How long a fault lasts: short and long ones are as likely."""
+    """Draws the duration of a fault; short and long ones are equally likely."""
     return world.fault_chance.uniform(*world.fault_chance.choice((SHORT_S, LONG_S)))
 
 
 def roll(world: World, tell: Callable[[str], None]) -> None:
-    """A part of the servers is replaced in steps; some come back under their ids."""
+    """Replaces half of the servers in steps; some come back under the same id."""
     chance = world.chance
     leaving = chance.sample(sorted(world.registry_entries), len(world.registry_entries) // 2)
     tell(f"{len(leaving)} servers are replaced in steps")
@@ -59,7 +59,7 @@
 
 
 def restarts(world: World, tell: Callable[[str], None]) -> None:
-    """Controllers are restarted one after the other."""
+    """Restarts the controllers one after another."""
     tell("controllers restart one by one")
     for number, host in enumerate(world.hosts):
         down_s = world.fault_chance.uniform(0.3, 2.5)
@@ -70,7 +70,7 @@
 
 
 def together(world: World, tell: Callable[[str], None]) -> None:
-    """Seven in ten controllers, and one at least, are killed at once; one stays where there are several."""
+    """Kills 70 % of the controllers at once: at least one, but not all if there are several."""
     count = min(max(1, round(0.7 * len(world.hosts))), max(1, len(world.hosts) - 1))
     at_s, down_s = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
     tell(f"at {at_s:.1f} s {count} controllers are killed for {down_s:.1f} s")
@@ -79,16 +79,16 @@
 
 
 def zone(world: World, tell: Callable[[str], None]) -> None:
-    """A zone is lost with its proxies, and back cold; the list may tell of its loss, too."""
+    """Stops a zone with its proxies; its servers come back cold. The list may report the loss."""
     name, at_s = world.fault_chance.choice(world.deployment.zones), world.fault_chance.uniform(*BEGIN_S)
-    told_s = world.fault_chance.choice([None, world.fault_chance.uniform(1.5, 4)])
-    seconds, told = lasts_s(world), "the list tells" if told_s else "the list is silent"
-    tell(f"at {at_s:.1f} s zone {name} is lost for {seconds:.1f} s, {told}")
-    world.at(at_s * SECOND, lambda: world.lose_zone(name, seconds, told_s))
+    reported_after_s = world.fault_chance.choice([None, world.fault_chance.uniform(1.5, 4)])
+    seconds, how_reported = lasts_s(world), "the list tells" if reported_after_s else "the list is silent"
+    tell(f"at {at_s:.1f} s zone {name} is lost for {seconds:.1f} s, {how_reported}")
+    world.at(at_s * SECOND, lambda: world.lose_zone(name, seconds, reported_after_s))
 
 
 def cut(world: World, tell: Callable[[str], None]) -> None:
-    """The proxies of a zone reach no controller for some seconds."""
+    """Cuts the proxies of a zone off from all controllers for some seconds."""
     name = world.fault_chance.choice(world.deployment.zones)
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
     tell(f"at {at_s:.1f} s the proxies of {name} reach no controller for {seconds:.1f} s")
@@ -96,7 +96,7 @@
 
 
 def registry(world: World, tell: Callable[[str], None]) -> None:
-    """The registry is down, then serves in turn; watches break by themselves."""
+    """Stops the registry for a time; after that it serves calls in order. Some watches also break."""
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
     tell(f"at {at_s:.1f} s the registry is down for {seconds:.1f} s")
     world.at(at_s * SECOND, lambda: world.registry_fails(seconds))
@@ -106,7 +106,7 @@
 
 
 def answers(world: World, tell: Callable[[str], None]) -> None:
-    """Calls to the store stay without an answer."""
+    """Loses the answers of calls to the store."""
     host, at_s = world.fault_chance.choice(world.hosts), world.fault_chance.uniform(*BEGIN_S)
     seconds = lasts_s(world)
     tell(f"from {at_s:.1f} s half of n{host.number}'s calls get no answer for {seconds:.1f} s")
@@ -114,7 +114,7 @@
 
 
 def channel(world: World, tell: Callable[[str], None]) -> None:
-    """A channel stands still, or slows."""
+    """Stops or slows a channel."""
     host, at_s = world.fault_chance.choice(world.hosts), world.fault_chance.uniform(*BEGIN_S)
     pace, seconds = world.fault_chance.choice([(0.0, 1.5), (0.0, 4.0), (0.3, lasts_s(world))])
     tell(f"at {at_s:.1f} s the channel of n{host.number} runs at {pace} of its pace for {seconds} s")
@@ -122,21 +122,21 @@
 
 
 def failing(world: World, tell: Callable[[str], None]) -> None:
-    """One of eight servers quickly fails nine of ten requests for a while."""
-    struck = world.fault_chance.sample(sorted(world.servers), max(1, len(world.servers) // 8))
+    """Makes one server in eight fail 90 % of its requests for a while."""
+    affected = world.fault_chance.sample(sorted(world.servers), max(1, len(world.servers) // 8))
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
     tell(f"from {at_s:.1f} s {len(struck)} servers fail quickly for {seconds:.1f} s")
 
-    def ails(part: float) -> None:
-        for name in struck:
+    def set_failing(part: float) -> None:
+        for name in affected:
             world.servers[name].failing = part
 
-    world.at(at_s * SECOND, lambda: ails(0.9))
-    world.at((at_s + seconds) * SECOND, lambda: ails(0.0))
+    world.at(at_s * SECOND, lambda: set_failing(0.9))
+    world.at((at_s + seconds) * SECOND, lambda: set_failing(0.0))
 
 
 def slow(world: World, tell: Callable[[str], None]) -> None:
-    """What is told to one proxy takes seconds longer, while it goes on by what it holds."""
+    """Delays messages to one proxy by seconds; it goes on with the tables that it has."""
     number, at_s = world.fault_chance.randrange(len(world.streams)), world.fault_chance.uniform(*BEGIN_S)
     seconds = lasts_s(world)
     tell(f"from {at_s:.1f} s messages to p{number} take seconds longer for {seconds:.1f} s")
@@ -144,20 +144,20 @@
 
 
 def stalls(world: World, tell: Callable[[str], None]) -> None:
-    """A part of the proxies stand still for up to 2 s again and again, and one for long."""
-    struck = world.fault_chance.sample(range(len(world.streams)), max(1, len(world.streams) // 3))
+    """Stalls a third of the proxies repeatedly for up to 2 s, except one, which stalls once for longer."""
+    affected = world.fault_chance.sample(range(len(world.streams)), max(1, len(world.streams) // 3))
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
     tell(f"{len(struck)} proxies stand still often, p{struck[0]} from {at_s:.1f} s for {seconds:.1f} s")
-    for number in struck[1:]:
+    for number in affected[1:]:
         next_s = world.fault_chance.uniform(1, 4)
         while next_s < FAULTS_END_S:
             world.at(next_s * SECOND, partial(world.stall, number, world.fault_chance.uniform(1.5, 2.0)))
             next_s += world.fault_chance.uniform(3.6, 5.5)
-    world.at(at_s * SECOND, partial(world.stall, struck[0], seconds))
+    world.at(at_s * SECOND, partial(world.stall, affected[0], seconds))
 
 
 def joins(world: World, tell: Callable[[str], None]) -> None:
-    """Proxies' streams break and are made anew all day; a part of these proxies have restarted."""
+    """Breaks streams of proxies all day; they are opened again. Some of these proxies also restart."""
     per_s, restarted = world.fault_chance.uniform(1, 8), world.fault_chance.choice((0.0, 0.3, 1.0))
     tell(f"{per_s:.1f} proxies a second join anew, {restarted:.0%} of them restarted")
     at_s = 0.0
@@ -172,12 +172,12 @@
 
 
 def release(world: World, tell: Callable[[str], None]) -> None:
-    """One server after the other is replaced all day, whichever is ready then."""
+    """Replaces randomly drawn ready servers one after another, all day."""
     chance = world.fault_chance
     every_s = chance.uniform(1, 4)
     tell(f"a server is replaced each {every_s:.1f} s all day")
 
-    def replace() -> None:
+    def replace_one() -> None:
         ready = [name for name, entry in world.registry_entries.items() if entry.state == "ready"]
         if len(ready) > len(world.servers) // 3:
             drain_s, back = chance.uniform(3, 6), chance.random() < 0.2
@@ -185,12 +185,12 @@
 
     at_s = 1.0
     while at_s < LENGTH_S:
-        world.at(at_s * SECOND, replace)
+        world.at(at_s * SECOND, replace_one)
         at_s += every_s * chance.uniform(0.5, 1.5)
 
 
 def streams(world: World, tell: Callable[[str], None]) -> None:
-    """Streams of single proxies break."""
+    """Breaks streams of single proxies."""
     tell("streams of single proxies break")
     for _ in range(6):
         number = world.fault_chance.randrange(len(world.streams))
@@ -225,11 +225,13 @@
     settings: interface.Deployment | None = None,
     faults: Sequence[Fault] = (),
 ) -> Verdict:
-    """One day: two to four faults drawn from the seed, or those given."""
+    """Simulates one day, with the given faults or two to four drawn ones."""
     world = World(seed, size, start, planted, settings)
     happened: list[str] = []
     for fault in faults or world.fault_chance.sample(FAULTS, world.fault_chance.randint(2, 4)):
-        world.fault_chance = random.Random(f"{fault.__name__} {seed}")  # so that one fault changes no other
+        world.fault_chance = random.Random(
+            f"{fault.__name__} {seed}"
+        )  # a generator for each fault, so that faults do not change each other's draws
         fault(world, happened.append)
     world.run(seconds)
     judge = world.judge
@@ -253,23 +255,26 @@
 
 
 def main(seed: int, seeds: int, size: Size, say: Callable[[str], None] = print) -> int:
-    """Plays the seeds; prints a line for each and one verdict. The status: 0, or 1 where a rule is broken."""
+    """Simulates all seeds and prints a line for each and one verdict.
+
+    Returns the exit status: 1 if a rule was broken, else 0.
+    """
     began, broken = time.monotonic(), 0
     worst_bare = worst_drain = 0
     peak = 0.0
     for verdict in days(range(seed, seed + seeds), size):
         worst_bare = max(worst_bare, verdict.worst_bare_us)
         worst_drain, peak = max(worst_drain, verdict.worst_drain_us), max(peak, verdict.peak_cold)
-        kept = "BROKEN" if verdict.breaches else "kept"
+        result = "BROKEN" if verdict.breaches else "kept"
         happened = "; ".join(verdict.happened)
         counts = f"{verdict.requests} visits, {verdict.handovers} handovers"
-        say(f"seed {verdict.seed}: {kept}; {counts}; {happened}")
+        say(f"seed {verdict.seed}: {result}; {counts}; {happened}")
         if verdict.breaches:
             broken += 1
             for line in verdict.breaches[:5]:
                 say(f"    {line}")
-            of = f"--controllers {size.controllers} --servers {size.servers} --proxies {size.proxies}"
-            say(f"    replay: lapispass lab fleet --seeds 1 --seed {verdict.seed} {of}")
+            options = f"--controllers {size.controllers} --servers {size.servers} --proxies {size.proxies}"
+            say(f"    replay: lapispass lab fleet --seeds 1 --seed {verdict.seed} {options}")
     say(
         f"{'RULES BROKEN' if broken else 'rules kept'}: {broken} of {seeds} seeds broken; longest without "
         f"a pick {worst_bare / SECOND:.1f} s, longest after a drain was told {worst_drain // MS} ms, most "
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -1,12 +1,12 @@
-"""A fleet in simulated time: proxies, servers, the store with its channels, and the registry.
+"""A simulated fleet: proxies, servers, the store with its channels, and the registry.
 
-What the platform's pages say of these parties, with faults that can be injected, on one clock that
-`World.run` moves on in steps of 50 ms. The controllers in it are the program's own; whoever judges is told
-what passes at proxies and servers, and never asks a controller what it believes. One seed gives all chance.
+It follows the platform's documentation and can inject faults. `World.run` advances one clock in steps of
+50 ms. The controllers are the real ones. The checker sees what happens at proxies and servers and never asks
+a controller for its view. One seed determines all random draws.
 
-Left out: bytes, connections, processor time, caches, clients that come again; all requests cost the same.
-A proxy holds one stream to each controller. Time limits of rules 1 and 3 wait while a channel or a stream
-stands or is slow, or a call is unsettled.
+Not simulated: bytes, connections, processor time, caches, retries of clients. All requests cost the same.
+A proxy has one stream to each controller. Time limits of rules 1 and 3 are suspended while a channel or a
+stream is stopped or slow, or while a call has no answer.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 )
 from lapispass.standins.fleet_proxies import REQUESTS_PER_S, STEP, Proxies
 
-SLACK = 300 * MS  # what the protocol's page adds to the limits
-LIST_DELAY_LIMIT = 6 * SECOND  # what the registry has to tell counts as told
-LOAD = 0.6  # of what all servers can do
+SLACK = 300 * MS  # tolerance that the protocol's page adds to the limits
+LIST_DELAY_LIMIT = 6 * SECOND  # after this time a change of the list counts as delivered
+LOAD = 0.6  # requests, as a share of the capacity of all servers
 
-# Faults that a checker must find: what the controllers are told wrongly, and what is lost of their orders.
+# Planted faults that a checker must find: wrong settings of the controllers, and orders that are lost.
 WRONG_SETTINGS: dict[str, dict[str, float]] = {
     "write life forgotten": {"linger_us": 0},
     "cold servers called warm": {"cold_us": 1},
@@ -52,7 +52,7 @@
 
 
 class World:
-    """`start` makes a controller from deployment, seed and time; `planted` names a fault to be found."""
+    """`start` makes a controller from deployment, seed and time; `planted` names a planted fault."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
             planted,
             start,
         )
-        self.fault_chance = random.Random(seed)  # of the faults, apart from the day's other chance
+        self.fault_chance = random.Random(seed)  # for faults only, independent of other draws
         self.deployment = settings or deployment(size)
         zones, slices = self.deployment.zones, self.deployment.slices
         self.registry_entries = {
@@ -79,7 +79,7 @@
             (0, entry) for entry in self.registry_entries.values()
         ]
         self.owner: dict[int, str | None] = {n: f"s{n % size.servers}" for n in range(slices)}
-        self.step = dict.fromkeys(self.owner, 0)  # of a slice's table in the store
+        self.step = dict.fromkeys(self.owner, 0)  # number of changes of each slice's table in the store
         self.levels: dict[int, dict[int, float]] = {n: {} for n in self.owner}
         self.server_capacity = REQUESTS_PER_S * size.proxies * slices / size.servers / LOAD
         self.servers = {
@@ -91,7 +91,7 @@
         self.granted_at = dict.fromkeys(self.owner, self.now)
         self.proxies = Proxies(self, size.proxies)
         self.streams = [[Stream() for _ in range(size.controllers)] for _ in range(size.proxies)]
-        self.away = [0] * size.proxies  # until when a proxy can reach nobody
+        self.away = [0] * size.proxies  # until when a proxy can reach no controller
         self.hosts = [ControllerHost(n) for n in range(size.controllers)]
         self.scheduled: list[tuple[int, Callable[[], object]]] = []
         self.registry_free, self.registry_down = self.now, 0
@@ -107,7 +107,7 @@
             self.start(host)
         self.run(3)
 
-    # what happens
+    # Events and faults
 
     def at(self, delay_us: float, act: Callable[[], object]) -> None:
         self.scheduled.append((self.now + int(delay_us), act))
@@ -122,15 +122,13 @@
         known: dict[str, interface.RegistryEntry] = {}
         for _, entry in self.changes[: host.known]:
             known[str(entry.backend)] = entry
-        standing = tuple(entry for entry in known.values() if entry.state != "gone")
+        entries = tuple(entry for entry in known.values() if entry.state != "gone")
         host.events, host.watch_at, host.received = (
-            [interface.RegistryUpdate("remembered", standing)],
+            [interface.RegistryUpdate("remembered", entries)],
             None,
             host.known,
         )
-        host.draining_since = {
-            str(entry.backend): self.now for entry in standing if entry.state == "draining"
-        }
+        host.draining_since = {str(entry.backend): self.now for entry in entries if entry.state == "draining"}
         host.lines_sent, host.call_settles_at, host.held_back = host.lines_written, 0, []
         for number in range(len(self.streams)):
             self.at(self.random_us(0.05, 2.5), partial(self.join, number, host))
@@ -138,17 +136,15 @@
             self.at(self.random_us(0.1, 2.0), partial(self.grant_slice, number, host))
 
     def stop(self, host: ControllerHost, down_s: float) -> None:
-        """Kills a controller; others get its slices a few seconds later, until it is back."""
+        """Kills a controller. Others get its slices a few seconds later; it restarts after `down_s`."""
         if not host.process:
             return
-        host.known = max(
-            0, host.received - self.chance.randrange(6)
-        )  # what it wrote down last may be older still
+        host.known = max(0, host.received - self.chance.randrange(6))  # the last stored state may be older
         host.process, host.watch_at = None, None
         for number in range(len(self.streams)):
             self.leave(number, host)
         takeover = self.random_us(0.9, 3.3)
-        for number in [n for n, charge in self.controller_of.items() if charge == host.number]:
+        for number in [n for n, controller in self.controller_of.items() if controller == host.number]:
             self.controller_of[number] = None
 
             def take(number: int = number) -> None:
@@ -205,7 +201,7 @@
             self.at(self.random_us(1.1, 3), lambda: self.join(number, host))
 
     def change(self, name: str, state: str) -> None:
-        """The list will say so; a server that it calls ready has just started."""
+        """Changes the state of a server in the list. A server that becomes ready has just started."""
         old = self.registry_entries.get(
             name, interface.RegistryEntry(name, self.deployment.zones[self.newcomers % 2], state, 1.0, None)
         )
@@ -215,40 +211,46 @@
         self.changes.append((self.now, self.registry_entries[name]))
 
     def start_server(self, name: str) -> None:
-        """A server starts, cold; the list tells a little later."""
+        """Starts a server, cold. The list has it a little later."""
         entry = self.registry_entries.get(name)
         zone = str(entry.zone) if entry else self.deployment.zones[self.newcomers % 2]
         self.servers[name] = Server(zone, self.server_capacity, started_at=self.now)
         born = self.now
 
-        def tell() -> None:
+        def list_as_ready() -> None:
             if self.servers[name].started_at == born:
                 self.change(name, "ready")
                 self.registry_entries[name] = self.registry_entries[name]._replace(started_us=born)
                 self.changes[-1] = (self.now, self.registry_entries[name])
 
-        self.at(self.random_us(0.5, 2.0), tell)
+        self.at(self.random_us(0.5, 2.0), list_as_ready)
 
     def replace(self, name: str, drain_s: float, back: bool) -> None:
-        """A server is announced as leaving, goes, and another comes; or it comes back under its own id."""
+        """Drains and stops a server, then starts a new one, or the same again if `back`."""
         self.change(name, "draining")
         self.newcomers += 1
         new = name if back else f"n{self.newcomers}"
 
-        def go() -> None:
+        def stop_server() -> None:
             self.servers[name].up = False
             self.change(name, "gone")
 
-        self.at(drain_s * SECOND, go)
+        self.at(drain_s * SECOND, stop_server)
         self.at((drain_s + 1) * SECOND, lambda: self.start_server(new))
 
-    def lose_zone(self, zone: str, seconds: float, told_s: float | None) -> None:
-        """All servers and proxies of a zone vanish and come back, servers cold; the list may tell of it."""
-        struck = [name for name, server in self.servers.items() if server.zone == zone and server.up]
-        for name in struck:
+    def lose_zone(self, zone: str, seconds: float, reported_after_s: float | None) -> None:
+        """Stops a zone for a time; its servers come back cold.
+
+        The list reports the servers as gone after about `reported_after_s`, or not at all if that is None.
+        """
+        affected = [name for name, server in self.servers.items() if server.zone == zone and server.up]
+        for name in affected:
             self.servers[name].up = False
-            if told_s is not None:
-                self.at(self.chance.uniform(told_s, told_s + 1) * SECOND, partial(self.report_gone, name))
+            if reported_after_s is not None:
+                self.at(
+                    self.chance.uniform(reported_after_s, reported_after_s + 1) * SECOND,
+                    partial(self.report_gone, name),
+                )
             self.at(seconds * SECOND, partial(self.restart_server, name))
         self.cut(zone, seconds)
 
@@ -261,7 +263,7 @@
             self.start_server(name)
 
     def cut(self, zone: str, seconds: float) -> None:
-        """The zone's proxies reach no controller."""
+        """Cuts the proxies of a zone off from all controllers for a time."""
         for number in range(self.deployment.zones.index(zone), len(self.streams), 2):
             self.away[number] = self.now + int(seconds * SECOND)
             for host in self.hosts:
@@ -278,22 +280,22 @@
             self.lose_watch(host)
 
     def channel(self, host: ControllerHost, pace: float, seconds: float) -> None:
-        """A controller's channel slows to a part of its pace, or stands still at 0."""
+        """Slows a controller's channel to a share of its speed for a time; 0 stops it."""
         host.pace = pace
         host.limits_paused_until = self.now + int((seconds + 3) * SECOND)
         self.at(seconds * SECOND, lambda: setattr(host, "pace", 1.0))
 
     def slow_streams(self, number: int, seconds: float) -> None:
-        """What controllers tell this proxy takes `SLOWER` longer; it goes on by what it holds."""
+        """Delays all messages to a proxy by `SLOW_STREAM_DELAY`; the proxy goes on with what it has."""
         for stream in self.streams[number]:
             stream.slow_until = self.now + int(seconds * SECOND)
 
     def stall(self, number: int, seconds: float) -> None:
-        """A proxy stands still: it sends, applies and answers nothing, and its streams stand."""
+        """Stalls a proxy: it sends, applies and acknowledges nothing, but keeps its streams."""
         self.proxies.stalled[number] = self.now + int(seconds * SECOND)
 
     def restart_proxy(self, number: int) -> None:
-        """A proxy is started anew; it holds nothing and reads the store when it joins."""
+        """Restarts a proxy: it loses its state and reads the store when it joins again."""
         for host, stream in zip(self.hosts, self.streams[number], strict=True):
             self.leave(number, host)
             stream.has_joined_before = False
@@ -301,11 +303,14 @@
         self.proxies.reset_proxy(number)
 
     def lose_answers(self, host: ControllerHost, part: float, seconds: float) -> None:
-        """So many of its calls to the store get no answer: carried out, or only when sent again."""
+        """Loses the answers of a share of a host's calls to the store for a time.
+
+        Half of these calls are carried out at once, the others only when sent again.
+        """
         host.lost_answer_share = part
         self.at(seconds * SECOND, lambda: setattr(host, "lost_answer_share", 0.0))
 
-    # the passing of time
+    # Simulated time
 
     def run(self, seconds: float) -> None:
         until = self.now + int(seconds * SECOND)
@@ -330,10 +335,10 @@
                 self.proxies.report()
 
     def watch(self, host: ControllerHost) -> None:
-        """The watch gives what it has; where a list stays away, it counts as told after 6 s.
+        """Delivers changes on an open watch. Without a watch, a change counts as delivered after 6 s.
 
-        While the registry is down nothing counts as told: the wire allows four times `ask-within-us` (10 s
-        and more) after a failed call, longer than it is ever down here.
+        While the registry is down, nothing counts as delivered: the protocol allows four times
+        `ask-within-us` (10 s and more) after a failed call, longer than any simulated outage.
         """
         if host.watch_at is not None and self.now >= host.watch_at and host.received < len(self.changes):
             entries = tuple(entry for _, entry in self.changes[host.received :])
@@ -355,7 +360,7 @@
             host.draining_since.setdefault(name, self.now)
 
     def turn(self, host: ControllerHost) -> None:
-        """One turn, unless a call is unsettled: then news wait."""
+        """Runs one turn of a controller, unless a call has no answer yet; then events wait."""
         if self.now < host.call_settles_at:
             return
         for message in host.held_back:
@@ -379,18 +384,18 @@
                     | interface.Barrier()
                 ):
                     message.append(order)
-        if gone := LOST_ORDERS.get(self.planted):
-            message = [order for order in message if not gone(order)]
+        if is_lost := LOST_ORDERS.get(self.planted):
+            message = [order for order in message if not is_lost(order)]
         if message and self.chance.random() < host.lost_answer_share:
             host.call_settles_at = self.now + self.random_us(0.2, 0.5)
             host.limits_paused_until = max(host.limits_paused_until, host.call_settles_at + 2 * SECOND)
-            if self.chance.random() < 0.5:  # not carried out yet: it goes again
+            if self.chance.random() < 0.5:  # the call was not carried out: it is sent again
                 host.held_back.append(message)
                 return
         self.carry_out(host, message)
 
     def request_watch(self, host: ControllerHost) -> None:
-        """The registry serves in turn; whoever waits for a second is turned away."""
+        """Opens a watch. The registry serves one call at a time and rejects those that would wait over 1 s."""
         host.calls += 1
         begins = max(self.now, self.registry_free)
         if self.now < self.registry_down or begins > self.now + SECOND:
@@ -401,7 +406,7 @@
         host.watch_at = self.registry_free
 
     def carry_out(self, host: ControllerHost, message: list[interface.Order]) -> None:
-        """The store takes the orders, and the channel the messages to all joined proxies."""
+        """Applies orders to the store and puts messages for all joined proxies into the channel."""
         if not message:
             return
         for order in message:
@@ -429,13 +434,13 @@
         self.judge.waiting(self.now, f"channel of n{host.number}", int(host.lines_written - host.lines_sent))
 
     def seen(self) -> tuple[int, ...]:
-        """What the parties saw, in figures."""
+        """Counts of what proxies, controllers and the registry have done; equal for equal runs."""
         proxies = self.proxies
         calls = sum(host.calls for host in self.hosts)
         return proxies.requests, proxies.served, proxies.applied, proxies.applied_us, self.handovers, calls
 
     def verdict(self) -> list[str]:
-        """Each breach in a line: when, which rule, whose, and what shows it."""
+        """One line for each breach: time, rule, party and evidence."""
         return [
             f"{found.at_us / SECOND:.2f} s: rule {found.rule}: {found.whose}: {found.what}"
             for found in self.judge.breaches
--- a/lapispass/standins/fleet_parties.py
+++ b/lapispass/standins/fleet_parties.py
@@ -1,4 +1,4 @@
-"""The parties of a fleet in simulated time: its size, its settings, and what is known of each party."""
+"""The state of a simulated fleet: its size, its deployment, and its servers, streams and controller hosts."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 MS = 1000
 SECOND = 1000 * MS
 READ, WRITE = 0, 1  # the classes of requests
-SLOW_STREAM_DELAY = 5 * SECOND  # for what is told to a proxy that is slow
+SLOW_STREAM_DELAY = 5 * SECOND  # extra delay of messages to a slow proxy
 
 
 class ControllerCore(Protocol):
-    """A controller, as a front drives it."""
+    """A controller's core, which gets events and returns orders, one turn at a time."""
 
     def turn(self, now: int, events: list[interface.Event]) -> list[interface.Order]: ...
 
 
 class Size(NamedTuple):
-    """How large a fleet is."""
+    """The size of a fleet."""
 
     controllers: int = 3
     proxies: int = 12
@@ -30,7 +30,7 @@
 
 
 def deployment(size: Size) -> interface.Deployment:
-    """What an operator would tell controllers of such a fleet; its channel is as the platform's would be."""
+    """The deployment that an operator would configure for a fleet of this size, with a realistic channel."""
     slices = size.slices_each * size.servers
     pace = max(4000.0, slices * size.proxies / 6)
     return interface.Deployment(
@@ -64,13 +64,13 @@
 
 @dataclass
 class Server:
-    """What it can do now, and what it was sent of late."""
+    """A server: what it can serve, and the requests that it got recently."""
 
     zone: str
-    capacity: float  # requests a second when warm
+    capacity: float  # requests per second when warm
     started_at: int = 0
     up: bool = True
-    failing: float = 0.0  # the part of its requests that it fails at once
+    failing: float = 0.0  # share of its requests that fail at once
     recent_requests: deque[int] = field(default_factory=deque)
 
     def warmth(self, settings: interface.Deployment, now: int) -> float:
@@ -79,9 +79,9 @@
 
 
 class Message(NamedTuple):
-    """A turn's orders on their way to one proxy."""
+    """The orders of one turn, on the way to one proxy."""
 
-    sent_at_line: float  # when so many lines have left the channel
+    sent_at_line: float  # the channel has sent the message when it has sent this many lines
     issued: int
     orders: list[tuple[interface.Order, int]]  # each with the step of the slice's table
 
@@ -90,44 +90,44 @@
 class Stream:
     """A proxy's stream to one controller."""
 
-    joined_at: int = -1  # -1: broken
+    joined_at: int = -1  # -1 while the stream is broken
     left_at: int = 0
     reads_at: int = 0
     withdrawn: set[str] = field(default_factory=set)
     waiting: deque[Message] = field(default_factory=deque)
     in_transit: deque[tuple[int, Message]] = field(default_factory=deque)
     has_joined_before: bool = False
-    applied: int = 0  # when the last message that it has applied was ordered
-    slow_until: int = 0  # messages that leave the channel until then take `SLOWER` longer
+    applied: int = 0  # issue time of the last applied message
+    slow_until: int = 0  # messages sent before this time take `SLOW_STREAM_DELAY` longer
 
     def late_us(self, now: int) -> int:
-        """How much later than the platform's `late-most-us` a message may come now."""
+        """How much later than the platform's `late-most-us` a message may arrive now."""
         return SLOW_STREAM_DELAY if now < self.slow_until + SLOW_STREAM_DELAY + SECOND else 0
 
 
 @dataclass
 class ControllerHost:
-    """Where a controller runs: its process, its channel, its watch, and what it was told."""
+    """The host of one controller: its process, its channel, its registry watch, and what it has received."""
 
     number: int
     process: ControllerCore | None = None
     events: list[interface.Event] = field(default_factory=list)
-    watch_at: int | None = None  # the watch opens, or has opened, then
-    received: int = 0  # changes of the list that it was given
-    known: int = 0  # a restart knows the list as it was then
+    watch_at: int | None = None  # when the watch opens or has opened
+    received: int = 0  # number of changes of the list that were delivered
+    known: int = 0  # number of changes that a restarted process remembers
     draining_since: dict[str, int] = field(
         default_factory=dict
-    )  # unfit servers, since when this host was told
+    )  # servers that must not be used, with the time at which this host learned of it
     start_seen_at: dict[str, int] = field(
         default_factory=dict
-    )  # cold servers, since when it was told of their start
-    lines_written: float = 0.0  # lines into the channel
-    lines_sent: float = 0.0  # lines out of it
-    pace: float = 1.0  # of the stated one
+    )  # started servers, with the time at which this host learned of the start
+    lines_written: float = 0.0  # lines put into the channel
+    lines_sent: float = 0.0  # lines that the channel has sent
+    pace: float = 1.0  # speed of the channel, as a share of the configured one
     limits_paused_until: int = (
-        0  # rule 1's and 3's limits wait while the channel or a call is not as it should be
+        0  # time limits of rules 1 and 3 are suspended while the channel or a call is disturbed
     )
-    lost_answer_share: float = 0.0  # the part of its calls whose answer does not come
+    lost_answer_share: float = 0.0  # share of its calls that get no answer
     call_settles_at: int = 0
     held_back: list[list[interface.Order]] = field(default_factory=list)
     calls: int = 0
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -1,4 +1,4 @@
-"""The proxies of a fleet in simulated time: what they apply, and the requests that they send."""
+"""The proxies of a simulated fleet: the orders that they apply and the requests that they send."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 if TYPE_CHECKING:
     from lapispass.standins.fleet import World
 
-STEP = 50 * MS  # of the clock
-COLD_WINDOW = 2 * SECOND  # a cold server falls over when it is pushed for so long
-WRITE_SHARE = 0.4  # of requests
-REQUESTS_PER_S = 0.6  # of a proxy, for a slice
+STEP = 50 * MS  # of the simulated clock
+COLD_WINDOW = 2 * SECOND  # period over which the load of a cold server is measured
+WRITE_SHARE = 0.4  # share of requests that write
+REQUESTS_PER_S = 0.6  # from one proxy for one slice
 STALL_LIMIT = (
     2 * SECOND
-)  # that the operators' pages name; limits run on while a proxy stands still for so long
+)  # the longest stall in the operators' documentation; time limits continue during such a stall
 
-Row = tuple[str | None, int, dict[int, float]]  # a slice at a proxy: its owner, the step, its levels
+Row = tuple[str | None, int, dict[int, float]]  # a slice at a proxy: owner, step, admission levels by class
 
 
 class Proxies:
-    """All proxies, by number."""
+    """All proxies, addressed by number."""
 
     def __init__(self, world: World, count: int) -> None:
         self.world = world
@@ -41,25 +41,25 @@
         ]
         self.pending_reads: list[dict[int, int]] = [
             {} for _ in range(count)
-        ]  # slices to be read afresh, and when
+        ]  # slices to be read from the store, and when
         self.controller_lost_since: dict[
             tuple[int, int], int
-        ] = {}  # proxies without the slice's controller, since
-        self.try_counts: dict[tuple[int, str], list[int]] = {}  # host and server: tries, lost
-        self.request_counts: dict[tuple[int, int, int], int] = {}  # host, slice and class
-        self.stalled: dict[int, int] = {}  # proxies that stand still, until when
+        ] = {}  # by proxy and slice: since when the proxy has no contact with the controller
+        self.try_counts: dict[tuple[int, str], list[int]] = {}  # by host and server: tries and failures
+        self.request_counts: dict[tuple[int, int, int], int] = {}  # requests by host, slice and class
+        self.stalled: dict[int, int] = {}  # stalled proxies, with the end of the stall
         self.requests = self.served = 0
-        self.applied, self.applied_us = 0, 0  # messages, and the sum of their times on the way
+        self.applied, self.applied_us = 0, 0  # number of applied messages, and the sum of their delays
 
     def reset_proxy(self, number: int) -> None:
-        """A proxy has been started anew."""
+        """Clears the state of a proxy that restarts."""
         self.tables[number] = {slice_: (None, -1, {}) for slice_ in self.world.owner}
         self.pending_reads[number].clear()
         for key in [key for key in self.controller_lost_since if key[0] == number]:
             del self.controller_lost_since[key]
 
     def is_stalled(self, number: int) -> bool:
-        """Whether a proxy does nothing now."""
+        """Whether a proxy is stalled now. During a long stall its time limits are suspended."""
         until = self.stalled.get(number, 0)
         if self.world.now >= until:
             self.stalled.pop(number, None)
@@ -69,16 +69,16 @@
         return True
 
     def schedule_reads(self, slice_: int) -> None:
-        """Each reads the slice's table from the store a little later."""
+        """Makes each proxy read the slice's table from the store after a random delay."""
         for reads in self.pending_reads:
             reads[slice_] = self.world.now + self.world.random_us(0.05, 0.4)
 
     def stored_row(self, slice_: int) -> Row:
-        """The slice's table as the store has it now."""
+        """The slice's table in the store."""
         return self.world.owner[slice_], self.world.step[slice_], dict(self.world.levels[slice_])
 
     def step(self, number: int) -> None:
-        """Reads the store where it is due, applies what has come, then sends its requests."""
+        """One step of a proxy: reads the store where due, applies messages, sends requests."""
         for host, stream in zip(self.world.hosts, self.world.streams[number], strict=True):
             self.forward_sent(host, stream)
         if self.is_stalled(number):
@@ -94,7 +94,7 @@
             self.send_request(number, slice_, row)
 
     def forward_sent(self, host: ControllerHost, stream: Stream) -> None:
-        """Messages that have left the channel are on their way to a proxy."""
+        """Moves messages that the channel has sent into transit to a proxy."""
         while stream.joined_at >= 0 and stream.waiting and stream.waiting[0].sent_at_line <= host.lines_sent:
             last = stream.in_transit[-1][0] if stream.in_transit else 0
             travels = self.world.random_us(0.05, 0.5) + SLOW_STREAM_DELAY * (
@@ -103,18 +103,20 @@
             stream.in_transit.append((max(last, self.world.now + travels), stream.waiting.popleft()))
 
     def receive(self, number: int, host: ControllerHost, stream: Stream) -> None:
-        """A proxy reads the store on a new stream, then applies what has come."""
+        """On a new stream, reads the store; then applies the messages that have arrived."""
         if stream.joined_at < 0 or self.world.now < stream.reads_at:
             return
         if stream.reads_at:
             stream.reads_at = 0
-            for slice_ in [s for s, charge in self.world.controller_of.items() if charge == host.number]:
+            for slice_ in [
+                s for s, controller in self.world.controller_of.items() if controller == host.number
+            ]:
                 self.tables[number][slice_] = self.stored_row(slice_)
         while stream.in_transit and stream.in_transit[0][0] <= self.world.now:
             self.apply(number, host, stream, stream.in_transit.popleft()[1])
 
     def apply(self, number: int, host: ControllerHost, stream: Stream, message: Message) -> None:
-        """Takes over the orders of one message."""
+        """Applies the orders of one message."""
         table, stream.applied = self.tables[number], message.issued
         self.applied += 1
         self.applied_us += self.world.now - message.issued
@@ -138,52 +140,52 @@
                     host.events.append(interface.BarrierAck(number, mark, self.world.now - message.issued))
 
     def send_request(self, number: int, slice_: int, row: Row) -> None:
-        """Whether the proxy has a pick now, and, by chance, a request."""
+        """Checks whether the proxy can pick a server now and, at random, sends a request."""
         world, (owner, step, levels) = self.world, row
-        charge, party = world.controller_of[slice_], f"p{number}"
-        stream = world.streams[number][charge] if charge is not None else None
+        controller, party = world.controller_of[slice_], f"p{number}"
+        stream = world.streams[number][controller] if controller is not None else None
         joined = stream is not None and stream.joined_at >= 0
         since = self.followed_since(number, slice_, stream)
         if owner is None or (stream is not None and owner in stream.withdrawn):
-            follows = joined and charge is not None and stream is not None
+            follows = joined and controller is not None and stream is not None
             late_us = stream.late_us(world.now) if follows and stream is not None else 0
-            host = world.hosts[charge] if follows and charge is not None else None
+            host = world.hosts[controller] if follows and controller is not None else None
             self.check_unassigned(party, slice_, host, late_us)
             owner = None
         else:
             world.judge.bare.pop((party, slice_), None)
         coming = world.chance.random() < REQUESTS_PER_S * STEP / SECOND
         if owner is None or not coming:
-            if coming and charge is not None:
-                self.count(charge, slice_, READ if world.chance.random() > WRITE_SHARE else WRITE)
-            if owner is not None and charge is not None and joined and stream is not None:
-                self.check_drain(party, slice_, owner, world.hosts[charge], stream)
+            if coming and controller is not None:
+                self.count(controller, slice_, READ if world.chance.random() > WRITE_SHARE else WRITE)
+            if owner is not None and controller is not None and joined and stream is not None:
+                self.check_drain(party, slice_, owner, world.hosts[controller], stream)
             return
         kind = WRITE if world.chance.random() < WRITE_SHARE else READ
-        if charge is not None:
-            self.count(charge, slice_, kind)
+        if controller is not None:
+            self.count(controller, slice_, kind)
         if world.chance.random() >= levels.get(kind, 1.0):
             return
         self.requests += 1
-        if joined and charge is not None and stream is not None:
-            self.check_drain(party, slice_, owner, world.hosts[charge], stream)
+        if joined and controller is not None and stream is not None:
+            self.check_drain(party, slice_, owner, world.hosts[controller], stream)
         lost = self.is_lost(world.servers[owner])
-        if charge is not None:
-            sums = self.try_counts.setdefault((charge, owner), [0, 0])
+        if controller is not None:
+            sums = self.try_counts.setdefault((controller, owner), [0, 0])
             sums[0] += 1
             sums[1] += lost
-        # Writes go on for a lease after the stream or the charge was lost, then none until the store is read.
+        # Writes continue for a lease after contact was lost, then stop until the store is read.
         if kind == WRITE and world.now - since >= world.deployment.lease_us:
             return
         if world.servers[owner].up:
             self.served += not lost
-            self.check_cold_load(owner, world.servers[owner], charge, stream)
+            self.check_cold_load(owner, world.servers[owner], controller, stream)
             if kind == WRITE:
                 until = world.now + int(world.chance.random() * world.deployment.linger_us)
                 world.judge.write(world.now, party, slice_, owner, step, until)
 
     def followed_since(self, number: int, slice_: int, stream: Stream | None) -> int:
-        """Now, or since when the proxy is without the slice's controller."""
+        """The current time, or the time since which the proxy has no contact with the slice's controller."""
         joined = stream is not None and stream.joined_at >= 0 and not stream.reads_at
         if joined and slice_ not in self.pending_reads[number]:
             self.controller_lost_since.pop((number, slice_), None)
@@ -192,9 +194,9 @@
         return self.controller_lost_since.setdefault((number, slice_), broken_at)
 
     def check_unassigned(self, party: str, slice_: int, host: ControllerHost | None, late_us: int) -> None:
-        """Rule 1, of the controller in charge that the proxy has joined; it waits where there is none.
+        """Checks rule 1, which applies only while the proxy has joined the slice's controller.
 
-        The platform is slow to tell this proxy by `late_us`.
+        `late_us` is the extra delay of messages to this proxy.
         """
         world = self.world
         if host is None or host.limits_paused_until + late_us > world.now:
@@ -207,13 +209,15 @@
             world.judge.pick(world.now - late_us, party, slice_, None)
 
     def is_lost(self, server: Server) -> bool:
-        """Whether a request to it fails."""
+        """Whether a request to the server fails."""
         return not server.up or self.world.chance.random() < server.failing
 
     def check_drain(self, party: str, slice_: int, owner: str, host: ControllerHost, stream: Stream) -> None:
-        """Rule 3, of the controller in charge."""
+        """Checks rule 3 for the slice's controller."""
         draining_at = host.draining_since.get(owner)
-        late_us = stream.late_us(self.world.now)  # what left in a trouble of the host comes so much later
+        late_us = stream.late_us(
+            self.world.now
+        )  # messages sent while the host was disturbed arrive this much later
         if draining_at is None or host.limits_paused_until + late_us > self.world.now:
             return
         told_at = max(draining_at, stream.joined_at, self.world.granted_at[slice_])
@@ -223,15 +227,17 @@
             what = f"slice {slice_} goes to {owner} {late / SECOND:.2f} s after n{host.number} was told"
             self.world.judge.breach("3", party, self.world.now, what)
 
-    def check_cold_load(self, name: str, server: Server, charge: int | None, stream: Stream | None) -> None:
-        """Rule 4: what a cold server is sent within 2 s, once whoever sends can know of its start."""
+    def check_cold_load(
+        self, name: str, server: Server, controller: int | None, stream: Stream | None
+    ) -> None:
+        """Checks rule 4: the load of a cold server over 2 s, once the sender can know of its start."""
         warmth = server.warmth(self.world.deployment, self.world.now)
         if warmth >= 1:
             return
         seen_at = (
             None
-            if charge is None
-            else self.world.hosts[charge].start_seen_at.get(f"{name} {server.started_at}")
+            if controller is None
+            else self.world.hosts[controller].start_seen_at.get(f"{name} {server.started_at}")
         )
         knows = stream is not None and seen_at is not None and stream.applied >= seen_at
         if seen_at is None or not (knows or self.world.now - seen_at > self.world.judge.bounds.grace_us):
@@ -240,17 +246,22 @@
         while server.recent_requests[0] <= self.world.now - COLD_WINDOW:
             server.recent_requests.popleft()
         can = warmth * server.capacity * COLD_WINDOW / SECOND
-        over = max(0.0, len(server.recent_requests) - 6) / can  # a little slack for chance
+        over = max(0.0, len(server.recent_requests) - 6) / can  # some slack for random bursts
         self.world.judge.cold(self.world.now, name, over)
 
-    def count(self, charge: int, slice_: int, kind: int) -> None:
-        """A request that came, as its controller is told in sums."""
-        key = charge, slice_, kind
+    def count(self, controller: int, slice_: int, kind: int) -> None:
+        """Counts a request for the report to its controller."""
+        key = controller, slice_, kind
         self.request_counts[key] = self.request_counts.get(key, 0) + 1
 
     def report(self) -> None:
-        """Sums of the last second, late; those of a controller that has died reach nobody."""
-        met, came, self.try_counts, self.request_counts = self.try_counts, self.request_counts, {}, {}
+        """Reports the sums of the last second, with a delay. Reports to a dead controller are lost."""
+        try_counts, request_counts, self.try_counts, self.request_counts = (
+            self.try_counts,
+            self.request_counts,
+            {},
+            {},
+        )
         names = [kind.name for kind in self.world.deployment.classes]
         for host in self.world.hosts:
             process = host.process
@@ -258,12 +269,12 @@
                 interface.ServerReport(
                     name, self.world.servers[name].zone, lost, tries, 300 * MS, SECOND, None
                 )
-                for (number, name), (tries, lost) in met.items()
+                for (number, name), (tries, lost) in try_counts.items()
                 if number == host.number
             ]
             sums += [
                 interface.RequestReport(slice_, names[kind], requests, 0, SECOND)
-                for (number, slice_, kind), requests in came.items()
+                for (number, slice_, kind), requests in request_counts.items()
                 if number == host.number
             ]
 
--- a/lapispass/standins/placeholder.py
+++ b/lapispass/standins/placeholder.py
@@ -1,8 +1,8 @@
-"""Hollow controllers: hundreds in one process; each holds what a real one holds, and decides nothing.
+"""Placeholder controllers: hundreds in one process, with the connections of real ones but no decisions.
 
-Each fetches the list, holds a watch on the registry and a stream of news at the relay, and sends calls,
-probes and further watches at the rates it is told. Rates are means: calls are spread by chance, and never
-come in step with each other.
+Each fetches the list, keeps a watch on the registry and an event stream from the relay, and sends calls,
+probes and further watches at configured rates. Rates are means: calls are spread at random, so that the
+controllers do not act in step.
 """
 
 from __future__ import annotations
@@ -18,28 +18,28 @@
 from lapispass.standins.platform import INSTANCES
 from lapispass.standins.servers import PLACEHOLDER_AGENT
 
-TICK_S = 0.02  # between looks at what is due
-PROBE_S = 0.75  # a probe without an answer for so long has failed
-RECONNECT_MAX_S = 0.5  # the longest wait before a connection that was lost is made again
+TICK_S = 0.02  # interval at which due actions are started
+PROBE_S = 0.75  # time-out of a probe
+RECONNECT_MAX_S = 0.5  # longest wait before a reconnection attempt
 REVISION = re.compile(rb'\{"revision":(\d+),')
-TAIL = 40  # bytes kept of a piece, in which the next revision may have begun
+TAIL = 40  # bytes kept of the last data, as a revision may be split over two pieces
 LENGTH = re.compile(rb"content-length: *(\d+)", re.IGNORECASE)
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """What each controller does, in a second; a call's orders are whole, the rates are means."""
+    """Mean rates of each controller, per second. The orders of a call are a whole number."""
 
     calls: float = 0.0
-    marks: float = 0.0  # in a call
-    orders: float = 0.0  # in a call, marks among them
+    marks: float = 0.0  # barriers in a call
+    orders: float = 0.0  # in a call, including barriers
     probes: float = 0.0
     watches: float = 0.0  # opened anew
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoints:
-    """Where the others are, as `host:port`."""
+    """The addresses of the other parts, as `host:port`."""
 
     registry: str
     relay: str
@@ -47,13 +47,13 @@
 
 
 def request(method: str, target: str, body: bytes = b"") -> bytes:
-    """A whole HTTP request of a hollow controller."""
+    """Encodes an HTTP request of a placeholder controller."""
     head = f"{method} {target} HTTP/1.1\r\nHost: stand-in\r\n".encode() + PLACEHOLDER_AGENT
     return b"%b\r\nContent-Length: %d\r\n\r\n%b" % (head, len(body), body)
 
 
 class RawConnection(asyncio.Protocol):
-    """One connection: writes a request, and hands on whatever comes."""
+    """One connection: writes a request and passes on all received data."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
     ) -> None:
         self.request_bytes, self.on_data, self.on_close = request_bytes, on_data, on_close
         self.transport: asyncio.Transport | None = None
-        self.unread = 0  # bytes of a list that are still to come, once its length is known
+        self.unread = 0  # bytes of a list that are still missing, once its length is known
         self.tail = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -87,26 +87,26 @@
 
 
 class PlaceholderController:
-    """One hollow controller."""
+    """One placeholder controller."""
 
     def __init__(self, endpoints: Endpoints, chance: random.Random) -> None:
         self.endpoints, self.chance = endpoints, chance
-        self.revision, self.updated_us = 0, 0  # the newest of the list, and when it came
+        self.revision, self.updated_us = 0, 0  # the newest revision of the list, and when it was received
         self.watch: RawConnection | None = None
         self.events: RawConnection | None = None
         self.calls: RawConnection | None = None
-        self.connected_us = 0  # when watch and news first stood
+        self.connected_us = 0  # when watch and event stream were first connected
         self.closed = False
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def begin(self, after_s: float) -> None:
-        """Starts as a real one does: the whole list, then the watch and the news."""
+        """Starts like a real controller: event stream and full list, then the watch."""
         await asyncio.sleep(after_s)
         self.spawn(self.open_events())
         self.spawn(self.fetch())
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Keeps a task until it is done."""
+        """Runs a coroutine as a task and keeps the task until it is done."""
         if self.closed:
             work.close()
             return
@@ -121,7 +121,7 @@
         on_data: Callable[[RawConnection, bytes], None],
         on_close: Callable[[RawConnection], None],
     ) -> RawConnection:
-        """A connection; it is tried until it stands."""
+        """Connects, and retries until that succeeds."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         while True:
@@ -139,7 +139,7 @@
         )
 
     def handle_list_data(self, link: RawConnection, data: bytes) -> None:
-        """A piece of the whole list; behind its last byte the watch is opened."""
+        """Handles a piece of the full list. After the last byte it opens the watch."""
         if not link.unread:
             head, _, rest = data.partition(b"\r\n\r\n")
             length = LENGTH.search(head)
@@ -152,14 +152,14 @@
             self.spawn(self.open_watch())
 
     def note_revision(self, link: RawConnection, data: bytes) -> None:
-        """The newest revision that a piece tells of, whichever way its bytes are cut."""
+        """Records the newest revision in the received data, however the data is split into pieces."""
         text = link.tail + data
         if (last := max(map(int, REVISION.findall(text)), default=0)) > self.revision:
             self.revision, self.updated_us = last, clock_us()
         link.tail = text[-TAIL:]
 
     async def open_watch(self) -> None:
-        """A watch from the revision known; the one before is left once this one stands."""
+        """Opens a watch from the known revision. Closes the previous watch once the new one is connected."""
         before = self.watch
         target = f"{INSTANCES}?watch=1&from={self.revision}"
         self.watch = await self.connect(
@@ -190,7 +190,7 @@
             self.connected_us = clock_us()
 
     async def call(self, orders: Sequence[str]) -> None:
-        """Sends a call on the connection that is kept for calls."""
+        """Sends a call on the connection for calls, and opens it if needed."""
         request_bytes = request("POST", "/", f"Action=ApplyOrders&orders={'%3B'.join(orders)}".encode())
         if self.calls is not None:
             self.calls.send(request_bytes)
@@ -204,7 +204,7 @@
             self.calls = None
 
     async def probe(self) -> None:
-        """Asks a server whether it is alive, and leaves."""
+        """Probes a random server and closes the connection."""
         host, _, port = self.chance.choice(self.endpoints.servers).rpartition(":")
         loop, answered = asyncio.get_running_loop(), asyncio.Event()
         request_bytes = request("GET", "/health/live")
@@ -220,7 +220,7 @@
                 )
                 await answered.wait()
         except OSError:
-            pass  # silent or gone: it is probed again, or another
+            pass  # the server is silent or gone; a later probe may reach it or another one
         finally:
             if link is not None:
                 link.close()
@@ -235,24 +235,24 @@
 
 
 class PlaceholderGroup:
-    """The hollow controllers of one process."""
+    """All placeholder controllers of one process."""
 
     def __init__(self, count: int, endpoints: Endpoints, seed: int) -> None:
         self.chance = random.Random(seed)
         self.controllers = [PlaceholderController(endpoints, self.chance) for _ in range(count)]
         self.pace = Pace()
-        self.mark = 0
+        self.barrier = 0
         self.task: asyncio.Task[None] | None = None
         self.due = {"calls": 0.0, "probes": 0.0, "watches": 0.0}
 
     def begin(self, spread_s: float) -> None:
-        """All start within `spread_s`."""
+        """Starts all controllers at random times within `spread_s`."""
         for controller in self.controllers:
             controller.spawn(controller.begin(self.chance.uniform(0, spread_s)))
         self.task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
-        """Sends what is due, each time by controllers drawn by chance."""
+        """Starts due calls, probes and watches at randomly drawn controllers."""
         while True:
             await asyncio.sleep(TICK_S)
             for controller in self.draw("calls", self.pace.calls):
@@ -264,7 +264,7 @@
                     controller.spawn(controller.open_watch())
 
     def draw(self, what: str, rate: float) -> list[PlaceholderController]:
-        """Whose turn it is, for something that each does so often in a second."""
+        """Draws controllers for an action that each performs `rate` times per second."""
         self.due[what] += rate * len(self.controllers) * TICK_S
         count = int(self.due[what])
         self.due[what] -= count
@@ -274,21 +274,21 @@
         return int(mean + self.chance.random())
 
     def make_orders(self) -> list[str]:
-        """A call's orders: marks, and levels that change nothing."""
-        marks = self.round_randomly(self.pace.marks)
-        others = max(0, self.round_randomly(self.pace.orders) - marks)
-        if not marks + others:
-            marks = 1
-        self.mark = (self.mark + 1) % 65_536
-        return ["LIMIT%2C%2A%2C%2A%2C1%2C1"] * others + [f"SYNC%2C{self.mark}%2C1"] * marks
+        """The orders of a call: barriers, and admission levels that change nothing."""
+        barriers = self.round_randomly(self.pace.marks)
+        others = max(0, self.round_randomly(self.pace.orders) - barriers)
+        if not barriers + others:
+            barriers = 1
+        self.barrier = (self.barrier + 1) % 65_536
+        return ["LIMIT%2C%2A%2C%2A%2C1%2C1"] * others + [f"SYNC%2C{self.barrier}%2C1"] * barriers
 
     def connected_times(self) -> list[int]:
-        """When each that stands first did, in microseconds of the machine's monotonic clock."""
-        return [each.connected_us for each in self.controllers if each.connected_us]
+        """When each connected controller first was connected, in microseconds of the monotonic clock."""
+        return [controller.connected_us for controller in self.controllers if controller.connected_us]
 
     def update_times(self, revision: int) -> list[int]:
-        """When each that knows a revision heard it."""
-        return [each.updated_us for each in self.controllers if each.revision >= revision]
+        """When each controller that knows a revision received it."""
+        return [controller.updated_us for controller in self.controllers if controller.revision >= revision]
 
     def close(self) -> None:
         if self.task is not None:
