--- a/lapispass/lab/fleet.py
+++ b/lapispass/lab/fleet.py
@@ -125,7 +125,7 @@
     """Makes one server in eight fail 90 % of its requests for a while."""
     affected = world.fault_chance.sample(sorted(world.servers), max(1, len(world.servers) // 8))
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
-    tell(f"from {at_s:.1f} s {len(struck)} servers fail quickly for {seconds:.1f} s")
+    tell(f"from {at_s:.1f} s {len(affected)} servers fail quickly for {seconds:.1f} s")
 
     def set_failing(part: float) -> None:
         for name in affected:
@@ -147,7 +147,7 @@
     """Stalls a third of the proxies repeatedly for up to 2 s, except one, which stalls once for longer."""
     affected = world.fault_chance.sample(range(len(world.streams)), max(1, len(world.streams) // 3))
     at_s, seconds = world.fault_chance.uniform(*BEGIN_S), lasts_s(world)
-    tell(f"{len(struck)} proxies stand still often, p{struck[0]} from {at_s:.1f} s for {seconds:.1f} s")
+    tell(f"{len(affected)} proxies stand still often, p{affected[0]} from {at_s:.1f} s for {seconds:.1f} s")
     for number in affected[1:]:
         next_s = world.fault_chance.uniform(1, 4)
         while next_s < FAULTS_END_S:
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -395,7 +395,7 @@
         self.carry_out(host, message)
 
     def request_watch(self, host: ControllerHost) -> None:
-        """Opens a watch. The registry serves one call at a time and rejects those that would wait over 1 s."""
+        """Opens a watch. The registry serves one call at a time and rejects calls with over 1 s to wait."""
         host.calls += 1
         begins = max(self.now, self.registry_free)
         if self.now < self.registry_down or begins > self.now + SECOND:
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -220,11 +220,11 @@
         )  # messages sent while the host was disturbed arrive this much later
         if draining_at is None or host.limits_paused_until + late_us > self.world.now:
             return
-        told_at = max(draining_at, stream.joined_at, self.world.granted_at[slice_])
-        late = self.world.now - told_at - late_us
+        informed_at = max(draining_at, stream.joined_at, self.world.granted_at[slice_])
+        late = self.world.now - informed_at - late_us
         self.world.judge.worst_drain_us = max(self.world.judge.worst_drain_us, late)
         if late > self.world.judge.bounds.grace_us:
-            what = f"slice {slice_} goes to {owner} {late / SECOND:.2f} s after n{host.number} was told"
+            what = f"slice {slice_} goes to {owner} {late / SECOND:.2f} s after n{host.number} was informed"
             self.world.judge.breach("3", party, self.world.now, what)
 
     def check_cold_load(
