--- /dev/null
+++ b/lapispass/core/slice_policy.py
@@ -0,0 +1,31 @@
+"""The base of the components that decide on slices."""
+
+from __future__ import annotations
+
+from typing import Generic, TypeVar
+
+from lapispass.core.fleet_index import AnyServer, FleetIndex
+from lapispass.core.shut_out import ShutOut
+from lapispass.core.slices import SliceIndex
+from lapispass.core.turn import Turn
+
+RulesType = TypeVar("RulesType")
+
+
+class SlicePolicy(Generic[RulesType, AnyServer]):
+    """A component with access to the turn, the rules, all servers and all slices."""
+
+    def __init__(
+        self,
+        turn: Turn,
+        rules: RulesType,
+        fleet: FleetIndex[AnyServer],
+        slice_index: SliceIndex,
+        shut_out: ShutOut,
+    ) -> None:
+        self.turn, self.rules, self.fleet, self.slice_index = turn, rules, fleet, slice_index
+        self.shut_out = shut_out
+        self.init_state()
+
+    def init_state(self) -> None:
+        """Initializes the component's own state."""
