--- a/tests/proxy_days.py
+++ b/tests/proxy_days.py
@@ -1,8 +1,8 @@
-"""Days of one real controller and proxies that each have a stream of their own, judged at each proxy.
+"""Runs ("days") of one real controller and proxies with a stream each, checked at each proxy.
 
-A release goes on all day. Beside it streams break and are made anew, proxies restart or stand still. The
-limits are those of the settings, made shorter by one factor for days in CI; a day lasts three times the
-longest of them.
+Servers are replaced during the whole run. Meanwhile streams break and are opened again; proxies restart or
+stall. The time limits are those of the settings, scaled by one factor to keep runs in CI short. A run lasts
+three times the longest limit.
 
 By hand: `PYTHONPATH=. python tests/proxy_days.py --seeds 10 --seed 1000 --factor 1`; status 1 where one is
 broken.
@@ -33,30 +33,30 @@
 
 PROXIES, SLICES = 60, 30
 UNSERVED_LIMIT_S, LEASE_S, LINGER_S = 20.0, 1.5, 5.0
-REPLACED_S = 2.0  # between two servers that are replaced
-DRAINS_S = 4.0  # until a server that drains is gone
+REPLACED_S = 2.0  # between two replacements of a server
+DRAINS_S = 4.0  # from the start of a drain until the server is gone
 TRAVELS_S = (0.05, 1.0)
-AWAY_S = (0.1, 2.0)  # a proxy between two streams
-GRACE_S = 3.0  # of a drain
+AWAY_S = (0.1, 2.0)  # time of a proxy between two streams
+GRACE_S = 3.0  # limit for a drain
 SLACK_S = 0.3
-LOOK_S = 0.1
-SHORT = 0.4  # the factor of days in CI
+CHECK_INTERVAL_S = 0.1
+SHORT = 0.4  # time factor of runs in CI
 
 
 @dataclass(frozen=True)
 class Trouble:
-    """What happens to the proxies all day."""
+    """The faults of proxies during a run."""
 
-    rejoins_per_s: float = 0.0  # streams that break, of all proxies together
-    restarts: float = 0.0  # the part of these in which the proxy has restarted, and holds nothing
-    stalled: int = 0  # proxies that stand still
-    stall_s: float = 0.0  # for so long, then again after `AWAY_S`
+    rejoins_per_s: float = 0.0  # broken streams per second, of all proxies together
+    restarts: float = 0.0  # share of these in which the proxy has restarted and lost its state
+    stalled: int = 0  # number of proxies that stall at a time
+    stall_s: float = 0.0  # duration of a stall; the next follows after `AWAY_S`
     replaced_s: float = REPLACED_S
 
 
 @dataclass
 class Verdict:
-    """What a day has shown."""
+    """The result of a run."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -70,9 +70,9 @@
 
 
 def settings(factor: float) -> dict[str, Any]:
-    """The controller's settings, with all limits in time shorter by a factor."""
-    told = copy.deepcopy(SETTINGS)
-    extra = told["extra"]
+    """The controller's settings, with all time limits multiplied by a factor."""
+    scaled = copy.deepcopy(SETTINGS)
+    extra = scaled["extra"]
     extra["data-plane-size"], extra["key-ranges"] = PROXIES, SLICES
     spans = {
         "blackhole-us": UNSERVED_LIMIT_S,
@@ -81,12 +81,12 @@
         "report-every-us": 2.0,
     }
     extra |= {name: int(span * factor * 1e6) for name, span in spans.items()}
-    told["rules"] |= {"cold-us": int(1e6 * factor), "start-capacity": 0.85}
-    return told
+    scaled["rules"] |= {"cold-us": int(1e6 * factor), "start-capacity": 0.85}
+    return scaled
 
 
 class ProxyDay:
-    """One controller through one day."""
+    """One run of one controller."""
 
     def __init__(self, seed: int, factor: float, trouble: Trouble) -> None:
         self.chance, self.factor, self.trouble = random.Random(seed), factor, trouble
@@ -106,7 +106,7 @@
         self.fleet = Fleet(self.chance, trouble.replaced_s * factor, DRAINS_S * factor)
 
     async def play(self, folder: Path) -> Verdict:
-        """The day; three times as long as rule 1's limit."""
+        """Runs for three times the limit of rule 1 and returns the result."""
         await self.fleet.open()
         await self.proxies.start()
         self.proxies.set_owners(self.fleet.names())
@@ -120,8 +120,13 @@
                 registry=nullcontext(self.fleet.registry),  # type: ignore[arg-type]
                 ready=None,
             ) as running:
-                lives = (self.read_log(running), self.judge(), self.fleet.replace(), self.break_streams())
-                tasks = [asyncio.create_task(life) for life in (*lives, self.stall())]
+                activities = (
+                    self.read_log(running),
+                    self.judge(),
+                    self.fleet.replace(),
+                    self.break_streams(),
+                )
+                tasks = [asyncio.create_task(life) for life in (*activities, self.stall())]
                 ended, _ = await asyncio.wait(
                     tasks, timeout=3 * UNSERVED_LIMIT_S * self.factor, return_when=asyncio.FIRST_EXCEPTION
                 )
@@ -141,21 +146,21 @@
         return self.verdict
 
     async def judge(self) -> None:
-        """Looks at what the proxies could pick; no time limit runs in the first second."""
+        """Checks what the proxies could pick. No time limit starts in the first second."""
         since_us = clock_us() + 1_000_000
         while True:
             self.proxies.check(self.fleet.draining_since_us, since_us)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def break_streams(self) -> None:
-        """Proxies' streams break and are made anew all the time."""
+        """Keeps breaking streams of proxies, which are opened again."""
         while rate := self.trouble.rejoins_per_s:
             await asyncio.sleep(self.chance.expovariate(rate / self.factor))
             number, restarted = self.chance.randrange(PROXIES), self.chance.random() < self.trouble.restarts
             self.proxies.rejoin(number, restarted, self.factor * self.chance.uniform(*AWAY_S))
 
     async def stall(self) -> None:
-        """Some proxies stand still again and again."""
+        """Stalls some proxies repeatedly."""
         while self.trouble.stalled:
             until = asyncio.get_running_loop().time() + self.trouble.stall_s * self.factor
             for number in self.chance.sample(range(PROXIES), self.trouble.stalled):
@@ -164,14 +169,14 @@
             await asyncio.sleep((self.trouble.stall_s + away_s) * self.factor)
 
     async def read_log(self, running: Controller) -> None:
-        """Keeps the log's pipe empty."""
+        """Reads the controller's log, so that its pipe does not fill up."""
         assert running.process.stderr
         while line := await running.process.stderr.readline():
             self.verdict.log.append(line.decode().rstrip("\n"))
 
 
 async def play_day(seed: int, folder: Path, trouble: Trouble, factor: float = SHORT) -> Verdict:
-    """One day."""
+    """One run."""
     return await ProxyDay(seed, factor, trouble).play(folder)
 
 
@@ -186,13 +191,13 @@
 
 
 def play_seed(seed: int, factor: float) -> Verdict:
-    """A day on a loop of its own; the troubles by turns."""
+    """One run on an event loop of its own. The seed selects the faults."""
     with TemporaryDirectory(prefix="lapispass-proxies-") as folder:
         return asyncio.run(play_day(seed, Path(folder), TROUBLES[seed % len(TROUBLES)], factor))
 
 
 def main() -> int:
-    """The long run, by hand."""
+    """The long run, started by hand."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--seed", type=int, default=1000)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,9 +1,9 @@
-"""Days of clients that use a real controller process until it is killed, judged by what was answered.
+"""Runs ("days") of clients that use a real controller process until it is killed, with checks of all answers.
 
-Each day draws from its seed: faults of system calls, steps of the wall clock, pauses, signals in series, a
-crowd. Clients keep their connections and go on asking until the kill, which comes `KILL_S` after SIGTERM; a
-second process takes the same address. The judge counts, by the shim, what the process has read from each
-client: whatever was read and not answered is lost.
+Each run draws from its seed: faults of system calls, steps of the wall clock, pauses, series of signals, a
+crowd of clients. Clients keep their connections and send requests until the kill, `KILL_S` after SIGTERM. A
+second process then uses the same address. The fault shim counts the bytes that the process has read from each
+client: a request that was read but not answered counts as lost.
 
 By hand: `PYTHONPATH=. python tests/soak.py --seeds 50 --seed 1000 --at-once 3`; status 1 where one is broken.
 """
@@ -31,10 +31,10 @@
 
 PING, PONG, NACK = b"PING\r\n", b"PONG\r\n", b"NACK why=unreadable\r\n"
 KILL_S = 0.7  # from SIGTERM to SIGKILL
-READY_S = 10.0  # for a start
-LIFE_S = 4.0  # of each of the two processes
-DUE_S = 0.5  # for an answer, of time in which the process runs
-OWED_S = 3.0  # for a rejection or a close
+READY_S = 10.0  # limit for a start
+LIFE_S = 4.0  # run time of each of the two processes
+DUE_S = 0.5  # limit for an answer; pauses of the process do not count
+OWED_S = 3.0  # limit for a rejection or a close
 CLIENTS, CROWD, BAD = 12, 300, 40
 PAUSE_S = 0.3
 DURING = (signal.SIGHUP, signal.SIGUSR1, signal.SIGHUP, signal.SIGWINCH)
@@ -44,15 +44,15 @@
 
 @dataclass
 class Verdict:
-    """What a day has shown."""
+    """The result of a run."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
     asked: int = 0
     answered: int = 0
-    killed: int = 0  # processes that had not ended by the kill
-    slowest_s: float = 0.0  # answer, pauses left out
-    figures: dict[str, int] = field(default_factory=dict)  # further ones, by name
+    killed: int = 0  # processes that had not exited before the kill
+    slowest_s: float = 0.0  # slowest answer, without pauses of the process
+    figures: dict[str, int] = field(default_factory=dict)  # further counts by name
 
     def __str__(self) -> str:
         figures = f"{self.asked} asked, {self.answered} answered, {self.killed} killed"
@@ -62,7 +62,7 @@
 
 @dataclass
 class ProcessRun:
-    """One process's life, as its clients and its judge see it."""
+    """The state of one process's run that its clients and checks share."""
 
     running: Controller
     chance: random.Random
@@ -71,11 +71,11 @@
     pauses: list[tuple[float, float]] = field(default_factory=list)
     is_stopping: bool = False
     due_s: float = DUE_S
-    is_faulty: bool = True  # system calls fail, and the clock is stepped
+    is_faulty: bool = True  # whether system calls fail and the clock is stepped
     times: ProcessTimes | None = None
 
     def paused_s(self, since: float) -> float:
-        """For how long the process was stopped from then on."""
+        """For how long the process was paused since a time."""
         now = asyncio.get_running_loop().time()
         return sum(max(0.0, min(now, end) - max(since, begin)) for begin, end in self.pauses)
 
@@ -83,7 +83,7 @@
         self.verdict.breaches.append(text)
 
     def late(self, took_s: float, begun: float, unread_s: float, about: str) -> None:
-        """An answer came after its time; `unread_s` before it was read, it had come."""
+        """Reports a late answer, which had arrived `unread_s` before it was read."""
         spent = f"; {self.times.since(begun)}" if self.times else ""
         faults = ", ".join(self.running.faults.active())
         self.breach(
@@ -92,14 +92,14 @@
         )
 
     def breach_lines(self) -> None:
-        """Faults of the program's own, by its log."""
+        """Reports internal errors that the log contains."""
         for line in self.running.lines:
             if "trace=" in line:
                 self.breach(line[:2000])
 
 
 class Client:
-    """One connection of a sound client."""
+    """One connection of a well-behaved client."""
 
     def __init__(self, day: ProcessRun) -> None:
         self.day, self.answered = day, 0
@@ -114,7 +114,7 @@
         self.read_before = self.day.running.faults.bytes_read_from(self.port)
 
     async def ask(self, count: int) -> bool:
-        """So many requests in pieces, and their answers; False where the connection has ended."""
+        """Sends `count` requests in two pieces and reads the answers. False if the connection has ended."""
         day, loop, chance = self.day, asyncio.get_running_loop(), self.day.chance
         message, expected = PING * count, PONG * count
         cut = chance.randrange(len(message))
@@ -147,7 +147,7 @@
         return True
 
     def about(self) -> str:
-        """What a trace of its answers needs."""
+        """Details of the connection for a breach report."""
         now, faults = asyncio.get_running_loop().time(), self.day.running.faults
         failed = faults.injected(Call.ACCEPT) - self.accept_failed
         return (
@@ -156,11 +156,11 @@
         )
 
     def unread_s(self) -> float:
-        """How long ago the last bytes came to this machine."""
+        """How long ago the kernel received the last bytes."""
         return (tcp_info.since_last_data_us(self.writer.get_extra_info("socket")) or 0) / 1e6
 
     def judge_end(self, got: bytes) -> None:
-        """The connection has ended before its answer."""
+        """Reports a connection that ended before the answer, unless that was to be expected."""
         day = self.day
         if not day.is_stopping and not day.is_crowded:
             day.breach(f"ended without a reason, {got!r} had come")
@@ -168,14 +168,14 @@
             day.breach(f"half an answer, or another: {got[-40:]!r}")
 
     def judge(self) -> None:
-        """Whatever was read is answered; called when the connection has ended."""
+        """Checks that every request read by the process was answered; called after the connection ended."""
         read = self.day.running.faults.bytes_read_from(self.port) - self.read_before
         if read // len(PING) > self.answered:
             self.day.breach(f"lost: {read // len(PING)} requests read, {self.answered} answered")
         self.writer.close()
 
     async def stays_silent(self, for_s: float) -> bool:
-        """Silent for a while; False where the connection has ended, or something unasked has come."""
+        """Waits without sending. False if the connection ends or unexpected data arrives."""
         try:
             async with asyncio.timeout(for_s):
                 piece = await self.reader.read(100)
@@ -191,7 +191,7 @@
 
 
 async def run_clients(day: ProcessRun, rounds: int, last_s: float) -> None:
-    """One client after the other, each on a connection that it keeps for some rounds."""
+    """Runs one client after another; each keeps its connection for some rounds."""
     chance = day.chance
     while not day.is_stopping:
         client = Client(day)
@@ -212,7 +212,7 @@
 
 
 async def crowd(day: ProcessRun) -> None:
-    """Hundreds at once, each with a request and some silence."""
+    """Runs hundreds of clients at once, each with one request and an idle time."""
 
     async def one() -> None:
         await asyncio.sleep(day.chance.uniform(0, 0.3))
@@ -230,7 +230,7 @@
 
 
 async def misbehave(day: ProcessRun) -> None:
-    """Clients that send what nobody can read, or nothing: each is owed a rejection or a close."""
+    """Runs clients that send malformed data or nothing; each must be rejected or closed in time."""
 
     async def one(said: bytes) -> None:
         loop = asyncio.get_running_loop()
@@ -259,7 +259,7 @@
 
 
 async def trouble(day: ProcessRun, until: float) -> None:
-    """A few faults at a time, clock steps, signals and short pauses."""
+    """Injects a few faults at a time, clock steps, signals and short pauses."""
     loop, running, chance = asyncio.get_running_loop(), day.running, day.chance
     while loop.time() < until:
         chosen = running.faults.inject_random(chance) if day.is_faulty else []
@@ -269,13 +269,13 @@
             for number in chance.sample(DURING, 2):
                 running.signal(number)
         await asyncio.sleep(0.25)
-        if chance.random() < 0.8:  # some go on until the next ones, or the end
+        if chance.random() < 0.8:  # other faults continue until the next ones or the end
             for call in chosen:
                 running.faults.clear(call)
 
 
 async def pause(day: ProcessRun) -> None:
-    """The process stands still for a while."""
+    """Stops the process with SIGSTOP for `PAUSE_S`."""
     loop = asyncio.get_running_loop()
     begun = loop.time()
     day.running.signal(signal.SIGSTOP)
@@ -286,7 +286,7 @@
 
 
 async def end(day: ProcessRun, ending: Sequence[signal.Signals] = ENDING) -> None:
-    """SIGTERM with other signals around it, and the kill `KILL_S` after the first one."""
+    """Sends SIGTERM among other signals, and kills the process `KILL_S` after the first SIGTERM."""
     loop, running = asyncio.get_running_loop(), day.running
     begun = loop.time()
     for number in ending:
@@ -306,7 +306,7 @@
 
 
 def controllers_clients(day: ProcessRun) -> list[Coroutine[Any, Any, None]]:
-    """Whoever speaks with a controller at its address."""
+    """All clients of a controller's address."""
     rounds = (day.chance.randint(1, 4), 1000)
     clients = [run_clients(day, day.chance.choice(rounds), 1.2) for _ in range(CLIENTS)]
     clients += [misbehave(day)]
@@ -321,7 +321,7 @@
     life_s: float = LIFE_S,
     ending: Sequence[signal.Signals] = ENDING,
 ) -> None:
-    """One process, from its start to its end; the clients end with it by themselves."""
+    """Runs one process with its clients to the end. The clients end when the process does."""
     loop = asyncio.get_running_loop()
     until = loop.time() + life_s
     day.times = ProcessTimes(day.running.process.pid)
@@ -338,13 +338,13 @@
 
 
 async def read_log(day: ProcessRun) -> None:
-    """Keeps the log's pipe empty."""
+    """Reads the process's log, so that its pipe does not fill up."""
     while line := await day.running.process.stderr.readline():
         day.running.lines.append(line.decode().rstrip("\n"))
 
 
 async def play_day(seed: int, folder: Path) -> Verdict:
-    """A day, with two processes at one address."""
+    """One run, with two processes one after another at one address."""
     chance, verdict = random.Random(seed), Verdict(seed)
     faults, address = Faults(folder / "faults"), free_address()
     is_crowded = chance.random() < 0.4
@@ -359,13 +359,13 @@
 
 
 def play_seed(seed: int) -> Verdict:
-    """A day on a loop of its own."""
+    """One run on an event loop of its own."""
     with TemporaryDirectory(prefix="lapispass-soak-") as folder:
         return asyncio.run(play_day(seed, Path(folder)))
 
 
 def main(play: Callable[[int], Any], about: str | None) -> int:
-    """The long run, by hand: each seed's verdict as it comes, and 1 where one has a breach."""
+    """The long run, started by hand. Prints the result of each seed; returns 1 if any has a breach."""
     parser = argparse.ArgumentParser(description=about)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--seed", type=int, default=1000)
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -1,4 +1,4 @@
-"""Days of a whole fleet in simulated time, judged by what passes: the rules hold; the checker can fail."""
+"""Simulated days of a whole fleet: the controllers keep the rules, and the checker finds planted faults."""
 
 from __future__ import annotations
 
@@ -46,21 +46,22 @@
 
 @pytest.mark.parametrize("seed", [5, 8])
 def test_proxies_keep_a_line_while_others_join_and_servers_are_replaced_all_day(seed: int) -> None:
-    # Guards against a last step that waits for each newcomer while the owner is shut out (issue 48).
+    # The last step of a handover must not wait for each joining proxy while the owner is withdrawn (issue 48).
     verdict = days.play(seed, Size(2, 40, 20, 2), faults=(days.release, days.joins))
     assert not verdict.breaches, verdict.breaches[0]
     assert verdict.handovers > 60
 
 
 def test_a_server_that_is_back_after_a_restart_of_the_controller_is_let_in_by_all() -> None:
-    # Guards against a withdrawal of an earlier life, of a server that the new life learns of later.
+    # A restarted controller may learn of a server only after the start. It must still end a withdrawal that
+    # the earlier process ordered.
     verdict = days.play(2, Size(2, 16, 20, 3), faults=(days.release, days.restarts, days.zone))
     assert not verdict.breaches, verdict.breaches[0]
 
 
 @pytest.mark.parametrize("fault", [fault for fault in days.FAULTS if fault is not days.release])
 def test_each_fault_changes_what_some_party_sees(fault: days.Fault) -> None:
-    # Guards against a fault that delays nothing, and only loosens a check.
+    # A fault without effect would only suspend checks.
     size = Size(2, 8, 10, 2)
     alone = days.play(2, size, seconds=24, faults=(days.release,))
     assert days.play(2, size, seconds=24, faults=(days.release, fault)).seen != alone.seen
@@ -69,8 +70,10 @@
 
 def test_a_release_changes_what_some_party_sees() -> None:
     size = Size(2, 8, 10, 2)
-    quiet, busy = (days.play(2, size, seconds=12, faults=(fault,)) for fault in (nothing, days.release))
-    assert quiet.seen != busy.seen
+    without_fault, with_release = (
+        days.play(2, size, seconds=12, faults=(fault,)) for fault in (nothing, days.release)
+    )
+    assert without_fault.seen != with_release.seen
 
 
 def nothing(world: World, tell: Tell) -> None:
@@ -78,13 +81,14 @@
 
 
 def stands(world: World, tell: Tell) -> None:
-    """All channels stand still while slices move."""
+    """Stops all channels while slices move."""
     for host in world.hosts:
         world.at(4 * SECOND, partial(world.channel, host, 0.0, 5))
 
 
 def returns(world: World, tell: Tell) -> None:
-    """A zone is lost, told of and back; then all others leave: those not let in again have the slices."""
+    """Loses a zone, which is reported and returns. Then all other servers drain, so that the slices move to
+    the returned servers, whose withdrawal must have ended."""
     world.at(1 * SECOND, lambda: world.lose_zone("east", 3, 1.0))
     for name, server in world.servers.items():
         if server.zone == "west":
@@ -153,7 +157,7 @@
 
 
 def test_the_checker_finds_orders_read_late(monkeypatch) -> None:
-    """As on the full fleet: slices were given, and the news of it was read 5 s later."""
+    """Slices were granted, and the controller read the events 5 s later, as seen on the full fleet."""
     give = World.grant_slice
 
     def late(world: World, number: int, host) -> None:
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -1,4 +1,4 @@
-"""Short days of a real controller and proxies with streams of their own; `proxy_days.py` has the long run."""
+"""Short runs of a real controller and proxies with a stream each; `proxy_days.py` has the long run."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.proxy_streams import Pace, Proxy, ProxyStreams, Row
 
-LIMIT_S = 60  # for a day of 24 s
-PLANTED = 0.2  # the factor of days on which the judge has to see a fault
+LIMIT_S = 60  # for a run of 24 s
+PLANTED = 0.2  # time factor of the runs in which the checker has to find a fault
 
 
 @pytest.mark.time_limit(LIMIT_S)
@@ -29,14 +29,14 @@
 async def test_a_slice_keeps_a_line_while_its_owners_drain_and_proxies_join_all_day(
     seed: int, trouble: Trouble, tmp_path: Path
 ) -> None:
-    # Guards against a last step that waits for each newcomer while the owner is shut out (issue 48).
+    # The last step of a handover must not wait for each joining proxy while the owner is withdrawn (issue 48).
     verdict = await play_day(seed, tmp_path, trouble)
     assert not verdict.breaches, str(verdict)
     assert verdict.moves > 20, str(verdict)
 
 
 class LosesOwners(ProxyStreams):
-    """The new owner of a slice reaches neither store nor proxies, once."""
+    """Loses all new owners of the first slice that gets one: they reach neither the store nor proxies."""
 
     lost_slice: str = ""
 
@@ -48,7 +48,7 @@
 
 
 class LosesOwnersAtOneProxy(ProxyStreams):
-    """No new owner reaches one proxy, whose stream stands."""
+    """Loses every new owner at one proxy, whose stream stays connected."""
 
     def apply(self, proxy: Proxy, order: list[str], made: Row | None) -> None:
         if order[0] != "SET" or proxy is not self.proxy_states[7]:
@@ -69,7 +69,7 @@
 
 
 def streams(bare_us: int = 8_000_000) -> ProxyStreams:
-    """Two proxies and two slices that nobody looks at but the test."""
+    """Two proxies and two slices, checked only by the test."""
     checker = Checker(Bounds(bare_us, 1_500_000), int)
     proxies = ProxyStreams(range(2), 2, Pace(1e6, 0.0, 0.01, 0.1, 2.0, "pay", 0.0), checker, random.Random(1))
     proxies.set_owners(["a", "b"])
@@ -81,7 +81,7 @@
 
 
 async def order(proxies: ProxyStreams, *orders: str) -> None:
-    """One message, and the time until it is applied."""
+    """Sends one message and waits until it is applied."""
     for text in (*orders, "SYNC,1,1"):
         proxies.carry_out(text.split(","))
     await asyncio.sleep(0.05)
@@ -132,7 +132,7 @@
     proxies.leave(0)
     await order(proxies, "SET,0,b,1.0")
     proxies.check({}, 0)
-    assert broken(proxies) == {("2", "p1")}  # p0 goes on with what it holds
+    assert broken(proxies) == {("2", "p1")}  # p0 continues with its tables
     proxies = streams()
     proxies.leave(0)
     await order(proxies, "SET,0,b,1.0")
--- a/tests/test_scale_stand_ins.py
+++ b/tests/test_scale_stand_ins.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a scale run on loopback: what they tell, to whom, and what they do not put up with."""
+"""Tests of the stand-ins of a scale run on loopback: events, acknowledgements, reports and limits."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
 from lapispass.standins.servers import Servers
 
 ZONES = ("a", "b")
-NEWS = request("GET", "/events")
+EVENT_STREAM_REQUEST = request("GET", "/events")
 
 
 class Client:
-    """A connection that keeps all that it reads."""
+    """A connection that keeps all received bytes."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.writer, self.said = writer, b""
-        self.life = asyncio.create_task(self.read(reader))
+        self.writer, self.received = writer, b""
+        self.task = asyncio.create_task(self.read(reader))
 
     @classmethod
-    async def open(cls, address: str, said: bytes) -> Client:
+    async def open(cls, address: str, request_bytes: bytes) -> Client:
         host, _, port = address.rpartition(":")
         client = cls(*await asyncio.open_connection(host, int(port)))
-        client.writer.write(said)
+        client.writer.write(request_bytes)
         return client
 
     async def read(self, reader: asyncio.StreamReader) -> None:
         while piece := await reader.read(65536):
-            self.said += piece
+            self.received += piece
 
     def close(self) -> None:
-        self.life.cancel()
+        self.task.cancel()
         self.writer.transport.abort()
 
 
@@ -50,13 +50,13 @@
     relay = Relay(4, proxies=4, ack_delay_s=0.001, zones=ZONES)
     relay.shared.add("many")
     address = await relay.listen("many")
-    clients = [await Client.open(address, NEWS) for _ in range(2)]
+    clients = [await Client.open(address, EVENT_STREAM_REQUEST) for _ in range(2)]
     await until(lambda: len(relay.event_streams.get("many", [])) == 2)
     call = request("POST", "/", b"Action=ApplyOrders&orders=SYNC%2C7%2C1%3BSYNC%2C8%2C1")
     caller = await Client.open(address, call)
-    await until(lambda: all(each.said.count(b"event: ACK") == 4 for each in clients))
-    assert sorted(b"nonce=7" in each.said for each in clients) == [False, True]
-    assert b"<ok_count>2</ok_count>" in caller.said
+    await until(lambda: all(each.received.count(b"event: ACK") == 4 for each in clients))
+    assert sorted(b"nonce=7" in each.received for each in clients) == [False, True]
+    assert b"<ok_count>2</ok_count>" in caller.received
     for each in (*clients, caller):
         each.close()
     relay.stop()
@@ -65,16 +65,16 @@
 async def test_proxies_of_a_lost_zone_leave_answer_nothing_and_come_back_cold() -> None:
     relay = Relay(1, proxies=4, ack_delay_s=0.001, zones=ZONES)
     address = await relay.listen("one")
-    client = await Client.open(address, NEWS)
-    await until(lambda: client.said.count(b"event: SUBSCRIBE") == 4)
+    client = await Client.open(address, EVENT_STREAM_REQUEST)
+    await until(lambda: client.received.count(b"event: SUBSCRIBE") == 4)
     relay.disconnect_zone("b")
     relay.carry_out(["SYNC", "7", "1"], "one")
-    await until(lambda: client.said.count(b"event: ACK") == 2)
+    await until(lambda: client.received.count(b"event: ACK") == 2)
     relay.rejoin_cold("b")
-    await until(lambda: client.said.count(b"cold=1") == 2)
-    assert client.said.count(b"event: CLOSED") == 2
-    closed = [line for line in client.said.split(b"\n") if line.startswith(b"data: node=")]
-    assert b"data: node=1" in closed and b"data: node=3" in closed  # those of the second zone
+    await until(lambda: client.received.count(b"cold=1") == 2)
+    assert client.received.count(b"event: CLOSED") == 2
+    closed = [line for line in client.received.split(b"\n") if line.startswith(b"data: node=")]
+    assert b"data: node=1" in closed and b"data: node=3" in closed  # the proxies of the second zone
     client.close()
     relay.stop()
 
@@ -84,7 +84,7 @@
     relay.unread_limit = 100_000
     host, _, port = (await relay.listen("one")).rpartition(":")
     _, writer = await asyncio.open_connection(host, int(port), limit=1000)
-    writer.write(NEWS)
+    writer.write(EVENT_STREAM_REQUEST)
     await until(lambda: relay.event_streams.get("one"))
     for _ in range(200):
         relay.send_events([b"x" * 100_000], "one")
@@ -128,13 +128,15 @@
     assert all("total=50 errors=50" in line or "errors=200" in line for line in collectors.lines("one", "a"))
     collectors.load = Load(0.0, ("look", "pay"))
     assert not collectors.lines("one", "a")
-    collectors.load = Load(8.0, ("look", "pay"))  # one in every other interval, for a slice and class
+    collectors.load = Load(
+        8.0, ("look", "pay")
+    )  # on average one request in two intervals, for each slice and class
     seen = sum(len(collectors.lines("one", "a")) > 0 for _ in range(200))
     assert 150 < seen <= 200
 
 
 def phase_of(times: list[float], interval: float) -> float:
-    """The middle of times that are taken modulo an interval, 0.199 and 0.001 being neighbours."""
+    """The median of times modulo an interval. With an interval of 0.2, 0.199 and 0.001 are close."""
     first = times[0]
     offsets = [(at - first + interval / 2) % interval - interval / 2 for at in times]
     return (first + median(offsets)) % interval
@@ -180,7 +182,7 @@
         writer.transport.abort()
     phases = sorted(phase_of(times, 0.2) for times in sent.values())
     gaps = [after - before for before, after in pairwise([*phases, phases[0] + 0.2])]
-    assert min(gaps) > 0.02, phases  # 0.05 each where nothing is late; 0 where all report together
+    assert min(gaps) > 0.02, phases  # 0.05 each if nothing is late; 0 if all zones report together
 
 
 async def test_hollow_controllers_hold_watch_and_news_and_keep_their_pace() -> None:
@@ -188,36 +190,36 @@
     relay.shared.add("hollow")
     addresses = await servers.listen_all(0, ["s-0", "s-1"])
     registry.members = {name: Member(name, address) for name, address in addresses.items()}
-    places = Endpoints(
+    endpoints = Endpoints(
         await registry.listen("hollow"), await relay.listen("hollow"), tuple(addresses.values())
     )
-    herd = PlaceholderGroup(5, places, seed=1)
-    herd.begin(0.05)
-    await until(lambda: len(herd.connected_times()) == 5)
+    group = PlaceholderGroup(5, endpoints, seed=1)
+    group.begin(0.05)
+    await until(lambda: len(group.connected_times()) == 5)
     assert len(registry.watches) == 5 and len(relay.event_streams["hollow"]) == 5
     registry.change(Member("s-0", addresses["s-0"], phase="Terminating"))
-    await until(lambda: len(herd.update_times(registry.revision)) == 5)
-    herd.pace = Pace(calls=10.0, marks=1.0, orders=2.0, probes=20.0, watches=2.0)
+    await until(lambda: len(group.update_times(registry.revision)) == 5)
+    group.pace = Pace(calls=10.0, marks=1.0, orders=2.0, probes=20.0, watches=2.0)
     began, seen = asyncio.get_running_loop().time(), registry.traffic["hollow"].calls
     await until(lambda: servers.placeholder.probes >= 100)
     took_s = asyncio.get_running_loop().time() - began
-    assert took_s >= 0.9  # 100 probes of 5 controllers at 20 a second each
+    assert took_s >= 0.9  # 100 probes by 5 controllers at 20 per second each
     assert registry.traffic["hollow"].calls > seen and "SYNC" in relay.orders[-1]
     assert any(order.startswith("LIMIT") for order in relay.orders)
     assert servers.real.probes == 0 and not servers.probed
-    registry.reset()  # whoever loses its watch opens it anew
+    registry.reset()  # a controller that loses its watch opens a new one
     await until(lambda: len(registry.watches) == 5)
-    herd.close()
+    group.close()
     for host in (registry, relay, servers):
         host.stop()
     await asyncio.sleep(0.05)
 
 
 def test_chance_of_hollow_controllers_follows_the_seed() -> None:
-    herds = [PlaceholderGroup(3, Endpoints("", "", ()), seed=7) for _ in range(2)]
-    for herd in herds:
-        herd.pace = Pace(calls=100.0, marks=0.5, orders=1.5)
-    first, second = ([herd.make_orders() for _ in range(20)] for herd in herds)
+    groups = [PlaceholderGroup(3, Endpoints("", "", ()), seed=7) for _ in range(2)]
+    for group in groups:
+        group.pace = Pace(calls=100.0, marks=0.5, orders=1.5)
+    first, second = ([group.make_orders() for _ in range(20)] for group in groups)
     assert first == second
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short days of the soak; `soak.py` says how to start the long run by hand."""
+"""Short soak runs; `soak.py` says how to start the long run by hand."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
     client = Client(judged := day(faults))
     client.port, client.read_before, client.answered = 40_000, 0, 2
     client.writer = SimpleNamespace(close=lambda: None)  # type: ignore[assignment]
-    place = RECORD.size * len(Call) + PORT_COUNT.size * client.port
+    offset = RECORD.size * len(Call) + PORT_COUNT.size * client.port
     for read, breaches in ((2 * len(PING) + 3, 0), (3 * len(PING), 1)):
-        PORT_COUNT.pack_into(faults.records, place, read)
+        PORT_COUNT.pack_into(faults.records, offset, read)
         client.judge()
         assert len(judged.verdict.breaches) == breaches
 
--- a/tests/test_two_controllers.py
+++ b/tests/test_two_controllers.py
@@ -1,4 +1,4 @@
-"""Short days of two controllers; `two_controllers.py` says how to start the long run by hand."""
+"""Short runs of two controllers; `two_controllers.py` says how to start the long run by hand."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("seed", [1, 4])
 def test_two_controllers_keep_rules_and_answers_until_the_kill(tmp_path: Path, seed: int) -> None:
-    # Guards against requests that are lost or late while servers are replaced all day.
+    # No request may be lost or late while servers are replaced all the time.
     async def test() -> None:
         verdict = await play_day(seed, tmp_path, life_s=4.0)
         assert not verdict.breaches, str(verdict)
@@ -43,7 +43,9 @@
         assert not broken(judged)
         late = {"s-0": now - WITHDRAWN_US - 100_000, "s-1": now - WITHDRAWN_US - 100_000}
         judged.check(late, 0)
-        assert broken(judged) == ["drain"]  # s-1 owns no slice here: slices with an even number are given
+        assert broken(judged) == [
+            "drain"
+        ]  # s-1 owns no slice here: only slices with an even number are granted
         judged.check(late, 0)
         assert broken(judged) == ["drain"]
 
@@ -67,7 +69,7 @@
 @pytest.mark.parametrize(
     ("orders", "rules"),
     [
-        ([["SET", "4", "s-1", "1.0"]], {"2"}),  # its writes may still be at the owner before
+        ([["SET", "4", "s-1", "1.0"]], {"2"}),  # its writes may still be in progress at the previous owner
         ([["LIMIT", "4", "pay", "0.0", "1"]], set()),
         ([["OUT", "s-0"]], set()),
     ],
@@ -82,7 +84,7 @@
                 judged.apply(zone)
         judged.check({}, 0)
         assert set(broken(judged)) == rules
-        for zone in ZONES:  # the timers that were set find nothing under way
+        for zone in ZONES:  # orders for the timers that are still set
             judged.under_way[zone].extend([["SYNC", "0", "1"]] * len(orders))
 
     play(test())
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -1,9 +1,9 @@
-"""Days of two real controllers side by side, judged by what clients, proxies and the store have seen.
+"""Runs ("days") of two real controllers side by side, checked at clients, proxies and the store.
 
-Each has a relay of its own, with the proxies' streams; both follow one registry, where a server is replaced
-each second or so. Collectors report, clients ask and stay until the kill, as in `soak.py`; faults of system
-calls, clock steps, pauses and a crowd come by the day's seed. What is judged beside the answers: the rules on
-what the proxies hold, and how soon a server that drains is withdrawn, or has lost its slices.
+Each controller has a relay of its own, with the proxies' streams. Both follow one registry, where a server is
+replaced about every second. Collectors report, and clients send requests until the kill, as in `soak.py`.
+The seed determines faults of system calls, clock steps, pauses and a crowd of clients. Besides the answers,
+the run checks the rules on what proxies have, and how soon a draining server is withdrawn or has no slices.
 
 By hand: `PYTHONPATH=. python tests/two_controllers.py --seeds 20 --seed 1000 --logs FOLDER`; status 1 where
 one is broken.
@@ -44,20 +44,20 @@
 DEPLOYMENT = deployment.read(SETTINGS)
 ENDING = (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGTERM)
 INCARNATIONS, LIFE_S = 2, 5.0
-READY_S = 10.0  # for a start
-REPLACED_S = 1.0  # between two servers that are replaced
-DRAINS_S = 3.0  # until a server that drains is gone
+READY_S = 10.0  # limit for a start
+REPLACED_S = 1.0  # between two replacements of a server
+DRAINS_S = 3.0  # from the start of a drain until the server is gone
 REPORTS = Load(3000.0, tuple(kind.name for kind in DEPLOYMENT.classes), interval_s=2.0)
-ANSWER_S = 0.02  # until proxies have applied what is ordered
-WITHDRAWN_US = 1_500_000  # for a server that drains to be withdrawn
-SLACK_US = 300_000  # for proxies, by the protocol's page
-GRACE_AT_START_S = 1.0  # after a start, before time limits run
-LOOK_S = 0.05
-REJOINS_S = 0.1  # between proxies that join anew
+ANSWER_S = 0.02  # until proxies have applied an order
+WITHDRAWN_US = 1_500_000  # limit for the withdrawal of a draining server
+SLACK_US = 300_000  # tolerance for proxies, from the protocol's page
+GRACE_AT_START_S = 1.0  # after a start, before time limits begin
+CHECK_INTERVAL_S = 0.05
+REJOINS_S = 0.1  # mean time between proxies that join again
 
 
 class Proxies(Relay):
-    """One controller's proxies and store; a zone's proxies hold the same tables."""
+    """The proxies and the store of one controller. All proxies of a zone have the same tables."""
 
     def __init__(self, slices: range) -> None:
         super().__init__(SIZE.slices, SIZE.proxies, ANSWER_S, ZONES)
@@ -68,11 +68,11 @@
         self.steps: dict[str, dict[int, int]] = {zone: dict.fromkeys(slices, 0) for zone in ZONES}
         self.under_way: dict[str, deque[list[str]]] = {zone: deque() for zone in ZONES}
         self.ordered_out: set[str] = set()
-        self.drained: set[str] = set()  # servers whose withdrawal came late, told once
+        self.drained: set[str] = set()  # servers whose late withdrawal has been reported
         self.slowest_withdrawal_us = 0
 
     def set_owners(self, servers: list[str]) -> None:
-        """What stands before the first controller."""
+        """Sets the owners of all slices before the first controller starts."""
         for number in self.granted[""]:
             self.owners[number] = servers[number % len(servers)]
             for zone in ZONES:
@@ -80,9 +80,9 @@
 
     def carry_out(self, order: list[str], client: str = "") -> None:
         loop = asyncio.get_running_loop()
-        for place, zone in enumerate(ZONES):
+        for index, zone in enumerate(ZONES):
             self.under_way[zone].append(order)
-            loop.call_later(self.ack_delay_s * (1 + place / len(ZONES)), self.apply, zone)
+            loop.call_later(self.ack_delay_s * (1 + index / len(ZONES)), self.apply, zone)
         match order:
             case ["OUT", server]:
                 self.ordered_out.add(server)
@@ -91,36 +91,36 @@
         super().carry_out(order, client)
 
     def apply(self, zone: str) -> None:
-        """The next order reaches the proxies of a zone."""
+        """Applies the next order at the proxies of a zone."""
         order = self.under_way[zone].popleft()
         changed(self.tables[zone], self.withdrawn[zone], ",".join(order))
         if order[0] in ("SET", "DEL"):
             self.steps[zone][int(order[1])] += 1
 
     def rejoin(self, chance: random.Random) -> None:
-        """A proxy's stream breaks and is made again."""
+        """Breaks the stream of a random proxy and opens it again."""
         proxy = chance.randrange(self.proxies)
         self.send_events(
             [event("CLOSED", node=proxy), self.subscribe_event(proxy, cold=chance.choice((0, 1)))]
         )
 
     def check(self, draining_since_us: dict[str, int], since_us: int) -> None:
-        """Judges what proxies hold now; no time limit runs before `since_us`."""
+        """Checks what proxies have now. Time limits start at `since_us` or later."""
         now, checker = clock_us(), self.checker
         for server, at_us in draining_since_us.items():
             if server not in checker.told:
                 checker.drains(at_us, server, True)
             self.judge_withdrawal(now, server, max(at_us, since_us))
         for zone in ZONES:
-            for number, (owner, is_open) in self.tables[zone].items():
+            for number, (owner, writes_admitted) in self.tables[zone].items():
                 reached = owner if owner not in self.withdrawn[zone] else None
                 checker.pick(now, zone, number, reached, since_us)
-                if reached is not None and is_open:
+                if reached is not None and writes_admitted:
                     until_us = now + DEPLOYMENT.linger_us
                     checker.write(now, zone, number, reached, self.steps[zone][number], until_us)
 
     def judge_withdrawal(self, now: int, server: str, since_us: int) -> None:
-        """A server that drains is withdrawn in time where it owns a slice; since when is as told."""
+        """Checks that a draining server that owns a slice is withdrawn within the limit."""
         if server in self.ordered_out or server not in self.owners.values() or server in self.drained:
             return
         self.slowest_withdrawal_us = max(self.slowest_withdrawal_us, now - since_us)
@@ -129,20 +129,22 @@
             self.checker.breach("drain", server, now, f"not withdrawn {now - since_us} us after it was told")
 
     def stop_judging(self) -> None:
-        """The controller ends: proxies go elsewhere."""
+        """Ends the checks of this controller's proxies, as the controller ends."""
         for zone in ZONES:
             self.checker.parted(zone)
 
 
 class Fleet:
-    """The servers of a day, and the registry that lists them."""
+    """The servers of a run, and the registry that lists them."""
 
     def __init__(
         self, chance: random.Random, replaced_s: float = REPLACED_S, drains_s: float = DRAINS_S
     ) -> None:
         self.chance, self.replaced_s, self.drains_s = chance, replaced_s, drains_s
         self.registry, self.servers = Registry(), Servers()
-        self.draining_since_us: dict[str, int] = {}  # servers that drain: since when the list says so
+        self.draining_since_us: dict[
+            str, int
+        ] = {}  # draining servers, with the time since which the list says so
         self.started = 0
 
     async def open(self) -> None:
@@ -152,7 +154,7 @@
             self.registry.members[member.id] = member
 
     async def server(self, up_since_ms: int = 0) -> Member:
-        """A further one, which listens."""
+        """Starts one more server and returns its member entry."""
         name, zone = f"s-{self.started}", ZONES[self.started % len(ZONES)]
         self.started += 1
         return Member(name, await self.servers.listen(name), zone, up_since_ms=up_since_ms)
@@ -161,7 +163,7 @@
         return list(self.registry.members)
 
     async def replace(self) -> None:
-        """One server after the other drains and is followed by a new one, all day."""
+        """Keeps draining servers; each is followed by a new one."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(self.chance.uniform(0.3, 1.6) * self.replaced_s)
@@ -174,7 +176,7 @@
             loop.call_later(self.drains_s, self.gone, leaving)
 
     def gone(self, member: Member) -> None:
-        """A server that drained has ended."""
+        """Marks a drained server as gone."""
         member.phase = "Gone"
         self.registry.change(member)
 
@@ -184,20 +186,20 @@
 
 
 class Side:
-    """One of the two controllers, through all its lives."""
+    """One of the two controllers, through all its incarnations."""
 
-    def __init__(self, fleet: Fleet, place: int, seed: int, verdict: Verdict, folder: Path) -> None:
+    def __init__(self, fleet: Fleet, index: int, seed: int, verdict: Verdict, folder: Path) -> None:
         self.fleet, self.chance, self.verdict, self.folder = fleet, random.Random(seed), verdict, folder
         self.is_crowded = self.chance.random() < 0.3
         self.is_faulty = self.chance.random() < 0.6
-        self.proxies = Proxies(range(place, SIZE.slices, SIZE.real))
+        self.proxies = Proxies(range(index, SIZE.slices, SIZE.real))
         self.address = free_address()
         folder.mkdir(parents=True, exist_ok=True)
         self.faults = Faults(folder / "faults")
         self.collectors = Collectors(self.proxies, REPORTS, seed)
 
     async def run_incarnations(self, after_s: float, life_s: float) -> None:
-        """Its lives, one after the other at one address."""
+        """Runs the incarnations one after another at the same address."""
         await self.proxies.start()
         self.proxies.set_owners(self.fleet.names())
         known = [member.as_json() for member in self.fleet.registry.members.values()]
@@ -221,7 +223,7 @@
                         self.verdict.breaches.append(f"ready after {loop.time() - begun:.1f} s")
                     await self.run_incarnation(running, life_s)
                     self.keep_log(running, number)
-        except (TimeoutError, AssertionError) as error:  # it never came to be ready
+        except (TimeoutError, AssertionError) as error:  # it did not become ready
             self.verdict.breaches.append(f"{self.folder.name}: no start: {error}")
         finally:
             self.collectors.stop()
@@ -229,7 +231,7 @@
             self.proxies.stop()
 
     async def run_incarnation(self, running: Controller, life_s: float) -> None:
-        """One process, from its start to its end."""
+        """Runs one process from its start to its end."""
         day = ProcessRun(
             running, self.chance, self.verdict, self.is_crowded, due_s=DUE_S, is_faulty=self.is_faulty
         )
@@ -243,40 +245,40 @@
             self.proxies.stop_judging()
 
     async def judge(self, day: ProcessRun) -> None:
-        """Looks at what proxies hold until the process is told to end."""
+        """Checks the proxies until the process gets SIGTERM."""
         ready_us = clock_us() + int(GRACE_AT_START_S * 1e6)
         while not day.is_stopping:
             paused = [int(end * 1e6) for _, end in day.pauses]
             self.proxies.check(self.fleet.draining_since_us, max([ready_us, *paused]))
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def churn(self) -> None:
-        """Proxies join anew all the time."""
+        """Makes proxies leave and join again all the time."""
         while True:
             await asyncio.sleep(self.chance.uniform(0, 2 * REJOINS_S))
             self.proxies.rejoin(self.chance)
 
     def keep_log(self, running: Controller, number: int) -> None:
-        """For whoever traces a breach."""
+        """Writes the log to a file, for the analysis of a breach."""
         (self.folder / f"life-{number}.log").write_text("\n".join(running.lines) + "\n")
 
     def judge_all(self) -> None:
-        """The breaches of the rules."""
+        """Adds the breaches of the rules to the verdict."""
         name = self.folder.name
         for breach in self.proxies.checker.verdict():
             self.verdict.breaches.append(f"{name}: rule {breach.rule}: {breach.whose}: {breach.what}")
 
 
 async def play_day(seed: int, folder: Path, life_s: float = LIFE_S) -> Verdict:
-    """A day of both; the second one starts half a life after the first."""
+    """One run of both controllers. The second starts half an incarnation after the first."""
     chance, verdict = random.Random(seed), Verdict(seed)
     fleet = Fleet(chance)
     await fleet.open()
-    sides = [Side(fleet, place, chance.randrange(1 << 30), verdict, folder / f"n{place}") for place in (0, 1)]
+    sides = [Side(fleet, index, chance.randrange(1 << 30), verdict, folder / f"n{index}") for index in (0, 1)]
     replacing = asyncio.create_task(fleet.replace())
     try:
         await asyncio.gather(
-            *(side.run_incarnations(life_s / 2 * place, life_s) for place, side in enumerate(sides))
+            *(side.run_incarnations(life_s / 2 * index, life_s) for index, side in enumerate(sides))
         )
     finally:
         replacing.cancel()
@@ -293,14 +295,14 @@
 
 
 def play_seed(seed: int, logs: Path | None, life_s: float) -> Verdict:
-    """A day on a loop of its own; the logs are kept where a folder is given."""
+    """One run on an event loop of its own. Keeps the logs if a folder is given."""
     with TemporaryDirectory(prefix="lapispass-two-") as temporary:
         folder = logs / str(seed) if logs else Path(temporary)
         return asyncio.run(play_day(seed, folder, life_s))
 
 
 def main() -> int:
-    """The long run, by hand."""
+    """The long run, started by hand."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--seed", type=int, default=1000)
