--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("seed", [5, 8])
 def test_proxies_keep_a_line_while_others_join_and_servers_are_replaced_all_day(seed: int) -> None:
-    # The last step of a handover must not wait for each joining proxy while the owner is withdrawn (issue 48).
+    # A handover's last step must not wait for each joining proxy while the owner is withdrawn (issue 48).
     verdict = days.play(seed, Size(2, 40, 20, 2), faults=(days.release, days.joins))
     assert not verdict.breaches, verdict.breaches[0]
     assert verdict.handovers > 60
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -29,7 +29,7 @@
 async def test_a_slice_keeps_a_line_while_its_owners_drain_and_proxies_join_all_day(
     seed: int, trouble: Trouble, tmp_path: Path
 ) -> None:
-    # The last step of a handover must not wait for each joining proxy while the owner is withdrawn (issue 48).
+    # A handover's last step must not wait for each joining proxy while the owner is withdrawn (issue 48).
     verdict = await play_day(seed, tmp_path, trouble)
     assert not verdict.breaches, str(verdict)
     assert verdict.moves > 20, str(verdict)
