--- a/lapispass/standins/nodes.py
+++ b/lapispass/standins/nodes.py
@@ -81,7 +81,7 @@
         self.server: Server | None = None
         self.on_message: Callable[[str], None] = lambda _: (
             None
-        )  # told each message; for tests that wait for one
+        )  # called with each message; for tests that wait for one
 
     async def start(self, port: int = 0, cold: bool = False) -> CounterNode:
         self.started_us = clock_us() if cold else 0
--- a/lapispass/standins/platform.py
+++ b/lapispass/standins/platform.py
@@ -185,12 +185,12 @@
             return
         orders = parse_qs(request.body.decode())["orders"][0].split(";")
         if self.throttles:
-            told = "<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>"
+            body = "<Response><Errors><Error><Code>throttled</Code></Error></Errors></Response>"
         else:
             for order in orders:
                 self.carry_out(order.split(","), connection.client)
-            told = f"<Response><entries><item><ok_count>{len(orders)}</ok_count></item></entries></Response>"
-        connection.write(response(f'<?xml version="1.0"?>\n{told}'.encode()))
+            body = f"<Response><entries><item><ok_count>{len(orders)}</ok_count></item></entries></Response>"
+        connection.write(response(f'<?xml version="1.0"?>\n{body}'.encode()))
 
     def zone_of(self, proxy: int) -> str:
         return self.zones[proxy % len(self.zones)]
