--- a/lapispass/standins/http.py
+++ b/lapispass/standins/http.py
@@ -122,7 +122,7 @@
 
 
 class HttpServer:
-    """A server on loopback with one listening socket for each client, so that clients can be distinguished."""
+    """A server on loopback with one listening socket for each client, to distinguish clients."""
 
     unread_limit = UNREAD_BYTES
 
