--- a/lapispass/core/slice_table.py
+++ b/lapispass/core/slice_table.py
@@ -8,10 +8,10 @@
 from lapispass.core.fleet_index import AnyServer, FleetIndex
 from lapispass.core.messages import MissedOrders
 from lapispass.core.server_state import ServerState
-from lapispass.core.shut_out import ShutOut
 from lapispass.core.slices import SliceIndex
 from lapispass.core.table import Table
 from lapispass.core.turn import Turn
+from lapispass.core.withdrawn import WithdrawnServers
 
 
 class Times(NamedTuple):
@@ -29,7 +29,7 @@
     def __init__(self, turn: Turn, fleet: FleetIndex[AnyServer], times: Times, negligible: float) -> None:
         super().__init__()
         self.turn, self.fleet, self.negligible, self.times = turn, fleet, negligible, times
-        self.slice_index, self.shut_out = SliceIndex(), ShutOut()
+        self.slice_index, self.shut_out = SliceIndex(), WithdrawnServers()
 
     def slice_granted(self, number: int, granted: bool) -> None:
         """Adds or removes a slice. Its stored table stays as it is, and no handover starts for one lease."""
@@ -51,7 +51,7 @@
     def proxy_joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """Notes that a proxy has joined, and which withdrawals it may have missed."""
         super().proxy_joined(event, missed)
-        self.shut_out.missed(missed)
+        self.shut_out.proxy_joined(missed)
 
     def server_evaluated(self, server: ServerState) -> None:
         """Notes that a server was evaluated: the admission levels of its slices may have to change."""
@@ -61,7 +61,7 @@
 
     def forget_server(self, number: interface.BackendId) -> bool:
         """Forgets a server; False while it is still withdrawn and proxies must let it in again."""
-        if number in self.shut_out.out:
+        if number in self.shut_out.withdrawn:
             return False
         self.shut_out.forget(number, self.fleet.last_index)
         self.slice_index.forget_server(number)
--- a/lapispass/standins/fleet.py
+++ b/lapispass/standins/fleet.py
@@ -17,7 +17,7 @@
 from functools import partial
 
 from lapispass import interface
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.fleet_parties import (
     MS,
     READ,
@@ -190,7 +190,7 @@
         stream.joined_at, stream.left_at = -1, self.now
         stream.waiting.clear()
         stream.in_transit.clear()
-        self.judge.parted(f"p{number}")
+        self.judge.party_left(f"p{number}")
         if process := host.process:
 
             def noticed() -> None:
@@ -431,7 +431,7 @@
                 host.lines_written += lines
                 stream.waiting.append(Message(host.lines_written, self.now, steps))
                 host.events += [interface.BarrierAck(number, mark, 50 * MS) for mark in marks]
-        self.judge.waiting(self.now, f"channel of n{host.number}", int(host.lines_written - host.lines_sent))
+        self.judge.queued(self.now, f"channel of n{host.number}", int(host.lines_written - host.lines_sent))
 
     def seen(self) -> tuple[int, ...]:
         """Counts of what proxies, controllers and the registry have done; equal for equal runs."""
@@ -442,6 +442,6 @@
     def verdict(self) -> list[str]:
         """One line for each breach: time, rule, party and evidence."""
         return [
-            f"{found.at_us / SECOND:.2f} s: rule {found.rule}: {found.whose}: {found.what}"
+            f"{found.at_us / SECOND:.2f} s: rule {found.rule}: {found.subject}: {found.detail}"
             for found in self.judge.breaches
         ]
--- a/lapispass/standins/fleet_proxies.py
+++ b/lapispass/standins/fleet_proxies.py
@@ -65,7 +65,7 @@
             self.stalled.pop(number, None)
             return False
         if until - self.world.now > STALL_LIMIT:
-            self.world.judge.parted(f"p{number}")
+            self.world.judge.party_left(f"p{number}")
         return True
 
     def schedule_reads(self, slice_: int) -> None:
@@ -153,7 +153,7 @@
             self.check_unassigned(party, slice_, host, late_us)
             owner = None
         else:
-            world.judge.bare.pop((party, slice_), None)
+            world.judge.unserved_since.pop((party, slice_), None)
         coming = world.chance.random() < REQUESTS_PER_S * STEP / SECOND
         if owner is None or not coming:
             if coming and controller is not None:
@@ -182,7 +182,7 @@
             self.check_cold_load(owner, world.servers[owner], controller, stream)
             if kind == WRITE:
                 until = world.now + int(world.chance.random() * world.deployment.linger_us)
-                world.judge.write(world.now, party, slice_, owner, step, until)
+                world.judge.write_sent(world.now, party, slice_, owner, step, until)
 
     def followed_since(self, number: int, slice_: int, stream: Stream | None) -> int:
         """The current time, or the time since which the proxy has no contact with the slice's controller."""
@@ -200,12 +200,12 @@
         """
         world = self.world
         if host is None or host.limits_paused_until + late_us > world.now:
-            world.judge.bare.pop((party, slice_), None)
+            world.judge.unserved_since.pop((party, slice_), None)
         elif any(
             entry.state == "ready" and world.now - (entry.started_us or 0) > world.deployment.cold_us
             for entry in world.registry_entries.values()
         ):
-            world.judge.bare.setdefault((party, slice_), max(world.now, world.granted_at[slice_]))
+            world.judge.unserved_since.setdefault((party, slice_), max(world.now, world.granted_at[slice_]))
             world.judge.pick(world.now - late_us, party, slice_, None)
 
     def is_lost(self, server: Server) -> bool:
@@ -223,7 +223,7 @@
         informed_at = max(draining_at, stream.joined_at, self.world.granted_at[slice_])
         late = self.world.now - informed_at - late_us
         self.world.judge.worst_drain_us = max(self.world.judge.worst_drain_us, late)
-        if late > self.world.judge.bounds.grace_us:
+        if late > self.world.judge.bounds.drain_grace_us:
             what = f"slice {slice_} goes to {owner} {late / SECOND:.2f} s after n{host.number} was informed"
             self.world.judge.breach("3", party, self.world.now, what)
 
@@ -240,14 +240,16 @@
             else self.world.hosts[controller].start_seen_at.get(f"{name} {server.started_at}")
         )
         knows = stream is not None and seen_at is not None and stream.applied >= seen_at
-        if seen_at is None or not (knows or self.world.now - seen_at > self.world.judge.bounds.grace_us):
+        if seen_at is None or not (
+            knows or self.world.now - seen_at > self.world.judge.bounds.drain_grace_us
+        ):
             return
         server.recent_requests.append(self.world.now)
         while server.recent_requests[0] <= self.world.now - COLD_WINDOW:
             server.recent_requests.popleft()
         can = warmth * server.capacity * COLD_WINDOW / SECOND
         over = max(0.0, len(server.recent_requests) - 6) / can  # some slack for random bursts
-        self.world.judge.cold(self.world.now, name, over)
+        self.world.judge.cold_load(self.world.now, name, over)
 
     def count(self, controller: int, slice_: int, kind: int) -> None:
         """Counts a request for the report to its controller."""
--- a/lapispass/standins/platform.py
+++ b/lapispass/standins/platform.py
@@ -16,7 +16,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlencode
 
-from lapispass.rules.held import Published
+from lapispass.rules.checks import PublishedStep
 from lapispass.standins.http import CHUNKED, HttpConnection, HttpServer, Request, chunk, response
 from lapispass.standins.nodes import clock_us
 
@@ -166,7 +166,7 @@
             str, Sequence[int]
         ] = {}  # the slices of each client; a client that is missing here has all
         self.owners: dict[int, str] = {}
-        self.published: list[Published] = []
+        self.published: list[PublishedStep] = []
         self.orders: list[str] = []
         self.event_streams: dict[str, list[HttpConnection]] = {}  # by client
         self.throttles = False  # rejects every call as throttled
@@ -257,10 +257,10 @@
         match order:
             case ["SET", number, node, _]:
                 self.owners[int(number)] = node
-                self.published.append(Published(clock_us(), int(number), node))
+                self.published.append(PublishedStep(clock_us(), int(number), node))
             case ["DEL", number]:
                 self.owners.pop(int(number), None)
-                self.published.append(Published(clock_us(), int(number), None))
+                self.published.append(PublishedStep(clock_us(), int(number), None))
             case ["SYNC", barrier, _] if client in self.shared:
                 delay_s = 1.5 * self.ack_delay_s
                 asyncio.get_running_loop().call_later(
--- a/tests/two_controllers.py
+++ b/tests/two_controllers.py
@@ -32,7 +32,7 @@
 from lapispass import deployment
 from lapispass.lab.scale import settings
 from lapispass.lab.scale.size import Size
-from lapispass.rules.five import Bounds, Checker
+from lapispass.rules.checker import Bounds, Checker
 from lapispass.standins.collectors import Collectors, Load
 from lapispass.standins.nodes import clock_us
 from lapispass.standins.platform import Member, Registry, Relay, event
@@ -108,8 +108,8 @@
         """Checks what proxies have now. Time limits start at `since_us` or later."""
         now, checker = clock_us(), self.checker
         for server, at_us in draining_since_us.items():
-            if server not in checker.told:
-                checker.drains(at_us, server, True)
+            if server not in checker.draining_since:
+                checker.set_draining(at_us, server, True)
             self.judge_withdrawal(now, server, max(at_us, since_us))
         for zone in ZONES:
             for number, (owner, writes_admitted) in self.tables[zone].items():
@@ -117,7 +117,7 @@
                 checker.pick(now, zone, number, reached, since_us)
                 if reached is not None and writes_admitted:
                     until_us = now + DEPLOYMENT.linger_us
-                    checker.write(now, zone, number, reached, self.steps[zone][number], until_us)
+                    checker.write_sent(now, zone, number, reached, self.steps[zone][number], until_us)
 
     def judge_withdrawal(self, now: int, server: str, since_us: int) -> None:
         """Checks that a draining server that owns a slice is withdrawn within the limit."""
@@ -131,7 +131,7 @@
     def stop_judging(self) -> None:
         """Ends the checks of this controller's proxies, as the controller ends."""
         for zone in ZONES:
-            self.checker.parted(zone)
+            self.checker.party_left(zone)
 
 
 class Fleet:
@@ -266,7 +266,7 @@
         """Adds the breaches of the rules to the verdict."""
         name = self.folder.name
         for breach in self.proxies.checker.verdict():
-            self.verdict.breaches.append(f"{name}: rule {breach.rule}: {breach.whose}: {breach.what}")
+            self.verdict.breaches.append(f"{name}: rule {breach.rule}: {breach.subject}: {breach.detail}")
 
 
 async def play_day(seed: int, folder: Path, life_s: float = LIFE_S) -> Verdict:
