--- a/lapispass/lab/shared.py
+++ b/lapispass/lab/shared.py
@@ -128,7 +128,9 @@
             self.start(name)
         for index in range(2 * len(self.names)):
             name = self.names[index % len(self.names)]
-            faults = Faults(slow_eds_s=0.4) if index == len(self.names) else Faults(wait_s=0.05)
+            faults = (
+                Faults(eds_read_delay_s=0.4) if index == len(self.names) else Faults(reconnect_delay_s=0.05)
+            )
             self.clients.append(XdsClient(f"127.0.0.1:{self.ports[name]}", f"x{index}", index, index % 2 == 0,
                                           faults=faults))  # fmt: skip
         client_tasks = [asyncio.create_task(client.run()) for client in self.clients]
@@ -264,7 +266,11 @@
             await asyncio.sleep(0.05)
             now = clock_us()
             for client in self.clients:
-                if client.stream is None or client.faults.slow_eds_s or len(client.endpoints) < 2 * SLICES:
+                if (
+                    client.stream is None
+                    or client.faults.eds_read_delay_s
+                    or len(client.endpoints) < 2 * SLICES
+                ):
                     self.checker.party_left(client.name)
                     continue
                 for number in range(SLICES):
--- a/lapispass/standins/coordination.py
+++ b/lapispass/standins/coordination.py
@@ -17,7 +17,7 @@
 import h11
 
 from lapispass.standins.nodes import clock_us
-from lapispass.standins.party import Party, answer, asked
+from lapispass.standins.stream_server import StreamServer, encode_response, read_request
 
 
 class KeyValue(NamedTuple):
@@ -206,7 +206,7 @@
     frozen: bool = False  # time stands still: no lease expires
 
 
-class CoordinationServer(Party):
+class CoordinationServer(StreamServer):
     """The service, listening on loopback."""
 
     def __init__(self) -> None:
@@ -242,14 +242,14 @@
     async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = h11.Connection(h11.SERVER)
         while True:
-            _, target, body = await asked(reader, connection)
+            _, target, body = await read_request(reader, connection)
             self.calls += 1
             if self.faults.slow_s:
                 await asyncio.sleep(self.faults.slow_s)
             while self.faults.silent:
                 await asyncio.sleep(0.02)
             if self.faults.refuse:
-                writer.write(answer(connection, 503, '{"error":"etcdserver: no leader","code":14}'))
+                writer.write(encode_response(connection, 503, '{"error":"etcdserver: no leader","code":14}'))
                 connection.start_next_cycle()
                 continue
             request = json.loads(body or b"{}")
@@ -260,7 +260,7 @@
             if target == "/v3/kv/txn" and self.faults.lose_answers > 0:
                 self.faults.lose_answers -= 1
                 return
-            writer.write(answer(connection, status, json.dumps(reply)))
+            writer.write(encode_response(connection, status, json.dumps(reply)))
             await writer.drain()
             connection.start_next_cycle()
 
@@ -307,7 +307,7 @@
         """
         key, end = decode_base64(request["key"]), decode_base64(request.get("range_end", ""))
         next_revision = int(request.get("start_revision", 0)) or self.state.revision + 1
-        writer.write(answer(connection, 200, None))
+        writer.write(encode_response(connection, 200, None))
 
         def send_result(result: dict[str, Any]) -> None:
             line = json.dumps({"result": {"header": self.state.header(), "watch_id": "0", **result}}) + "\n"
--- a/tests/test_two_controllers.py
+++ b/tests/test_two_controllers.py
@@ -1,4 +1,4 @@
-"""Short days of two controllers; `two_controllers.py` says how to start the long run by hand."""
+"""Short runs of two controllers; `two_controllers.py` says how to start the long run by hand."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("seed", [1, 4])
 def test_two_controllers_keep_rules_and_answers_until_the_kill(tmp_path: Path, seed: int) -> None:
-    # Guards against requests that are lost or late while servers are replaced all day.
+    # No request may be lost or late while servers are replaced all the time.
     async def test() -> None:
         verdict = await play_day(seed, tmp_path, life_s=4.0)
         assert not verdict.breaches, str(verdict)
@@ -28,7 +28,7 @@
 
 def proxies() -> Proxies:
     made = Proxies(range(0, SIZE.slices, 2))
-    made.own(["s-0", "s-1", "s-2", "s-3"])
+    made.set_owners(["s-0", "s-1", "s-2", "s-3"])
     return made
 
 
@@ -39,12 +39,14 @@
 def test_the_judge_sees_a_server_that_is_not_withdrawn_in_time() -> None:
     async def test() -> None:
         judged, now = proxies(), clock_us()
-        judged.look({"s-0": now - WITHDRAWN_US + 100_000}, 0)
+        judged.check({"s-0": now - WITHDRAWN_US + 100_000}, 0)
         assert not broken(judged)
         late = {"s-0": now - WITHDRAWN_US - 100_000, "s-1": now - WITHDRAWN_US - 100_000}
-        judged.look(late, 0)
-        assert broken(judged) == ["drain"]  # s-1 owns no slice here: slices with an even number are given
-        judged.look(late, 0)
+        judged.check(late, 0)
+        assert broken(judged) == [
+            "drain"
+        ]  # s-1 owns no slice here: only slices with an even number are granted
+        judged.check(late, 0)
         assert broken(judged) == ["drain"]
 
     play(test())
@@ -53,12 +55,12 @@
 def test_no_time_limit_runs_before_the_start_and_none_for_a_server_that_is_withdrawn() -> None:
     async def test() -> None:
         judged, now = proxies(), clock_us()
-        judged.look({"s-0": now - 10 * WITHDRAWN_US}, now)
+        judged.check({"s-0": now - 10 * WITHDRAWN_US}, now)
         assert not broken(judged)
         judged = proxies()
         judged.carry_out(["OUT", "s-2"])
         await asyncio.sleep(3 * ANSWER_S)
-        judged.look({"s-2": now - 10 * WITHDRAWN_US}, 0)
+        judged.check({"s-2": now - 10 * WITHDRAWN_US}, 0)
         assert not broken(judged)
 
     play(test())
@@ -67,7 +69,7 @@
 @pytest.mark.parametrize(
     ("orders", "rules"),
     [
-        ([["SET", "4", "s-1", "1.0"]], {"2"}),  # its writes may still be at the owner before
+        ([["SET", "4", "s-1", "1.0"]], {"2"}),  # its writes may still be in progress at the previous owner
         ([["LIMIT", "4", "pay", "0.0", "1"]], set()),
         ([["OUT", "s-0"]], set()),
     ],
@@ -75,14 +77,14 @@
 def test_the_judge_sees_writes_at_two_owners(orders: list[list[str]], rules: set[str]) -> None:
     async def test() -> None:
         judged = proxies()
-        judged.look({}, 0)
+        judged.check({}, 0)
         for order in orders:
             judged.carry_out(order)
             for zone in ZONES:
                 judged.apply(zone)
-        judged.look({}, 0)
+        judged.check({}, 0)
         assert set(broken(judged)) == rules
-        for zone in ZONES:  # the timers that were set find nothing under way
+        for zone in ZONES:  # orders for the timers that are still set
             judged.under_way[zone].extend([["SYNC", "0", "1"]] * len(orders))
 
     play(test())
