--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -74,8 +74,8 @@
 def test_where_messages_are_limited_a_withdrawal_never_waits_for_the_window_to_end() -> None:
     """Guards against withdrawals that wait because too many small messages have been sent before.
 
-    On ebene 19 messages were sent in 5.5 s, each letting in a few servers; then nothing was withdrawn for
-    4.5 s.
+    Once 19 messages were sent in 5.5 s, and each admitted only a few servers. This used up the limit on
+    messages, and nothing was withdrawn for the following 4.5 s.
     """
     settings = deployment(
         proxies=160, slices=260, lines_per_s=60_000.0, queue_limit_lines=120_000.0, max_messages=20
@@ -134,8 +134,8 @@
 def test_a_channel_that_is_stalled_or_very_slow_is_not_filled_beyond_its_limit(rate_share: float) -> None:
     """Guards against a queue that grows beyond its limit while the channel is slower than configured.
 
-    In herd+mass the channel was stalled for 4 s. By the controller's model the queue was half full, but in
-    fact 794,024 lines were queued, of a limit of 754,600.
+    Once, while the channel was stalled for 4 s, the queue was half full by the controller's model. In fact
+    794,024 lines were queued, and the limit was 754,600.
     """
     settings = deployment(
         proxies=400, slices=300, lines_per_s=20_000.0, queue_limit_lines=40_000.0, max_messages=0
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -46,7 +46,8 @@
 
 @pytest.mark.parametrize("seed", [5, 8])
 def test_proxies_keep_a_line_while_others_join_and_servers_are_replaced_all_day(seed: int) -> None:
-    # Guards against a last step that waits for each newcomer while the owner is shut out (issue 48).
+    # Guards against a handover whose last step waits for every proxy that joins while the slice's owner is
+    # withdrawn. While proxies keep joining, the slice would stay unserved.
     verdict = days.play(seed, Size(2, 40, 20, 2), faults=(days.release, days.joins))
     assert not verdict.breaches, verdict.breaches[0]
     assert verdict.handovers > 60
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -151,7 +151,8 @@
 
 
 def test_handovers_go_on_while_proxies_join_all_the_time() -> None:
-    # Guards against a step that waits for an instant in which every new proxy has acknowledged (issue 48).
+    # Guards against a handover step that waits for a moment at which every new proxy has acknowledged. While
+    # proxies keep joining, there may be no such moment.
     fleet = Fleet(deployment(proxies=12, max_messages=1000), 6, seed=9, ran_s=3)
     for turn in range(300):
         number = turn % 12
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -53,8 +53,9 @@
 
 
 def test_a_server_just_started_counts_with_the_part_that_is_admitted_there() -> None:
-    # he52968: a server that had started 1.7 s before got a slice to relieve the slice's owner. The requests
-    # for that slice had tripled since the last report.
+    # Guards against overloading a server that has just started. Such a server was once given a slice 1.7 s
+    # after its start, to relieve the slice's owner. The requests for that slice had tripled since the last
+    # report.
     now = 100 * SECOND
     controller = Controller(deployment(), 1, now)
     controller.turn(now, events_to_running([server(n) for n in range(3)], 4, 6))
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -29,7 +29,8 @@
 async def test_a_slice_keeps_a_line_while_its_owners_drain_and_proxies_join_all_day(
     seed: int, trouble: Trouble, tmp_path: Path
 ) -> None:
-    # Guards against a last step that waits for each newcomer while the owner is shut out (issue 48).
+    # Guards against a handover whose last step waits for every proxy that joins while the slice's owner is
+    # withdrawn. While proxies keep joining, the slice would stay unserved.
     verdict = await play_day(seed, tmp_path, trouble)
     assert not verdict.breaches, str(verdict)
     assert verdict.moves > 20, str(verdict)
