--- a/tests/async_tests.py
+++ b/tests/async_tests.py
@@ -1,4 +1,4 @@
-"""Runs tests that are coroutines, each in an event loop of its own that must be left without tasks."""
+"""Runs each coroutine test in an event loop of its own; a test must not leave tasks behind."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 def play(test: Coroutine[Any, Any, None], limit_s: float = LIMIT_S) -> None:
-    """A test's life; it leaves no task behind."""
+    """Runs a test's coroutine, and fails if it exceeds its time limit or leaves a task behind."""
 
-    async def whole() -> None:
+    async def run_and_check() -> None:
         await asyncio.wait_for(test, limit_s)
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        if left:  # ended by the test: they may need a round to be gone
-            await asyncio.wait(left, timeout=1)
-        pending = [task for task in left if not task.done()]
-        assert not pending, pending
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        if remaining:  # a task that the test has cancelled may need another iteration of the loop to end
+            await asyncio.wait(remaining, timeout=1)
+        unfinished = [task for task in remaining if not task.done()]
+        assert not unfinished, unfinished
 
-    asyncio.run(whole())
+    asyncio.run(run_and_check())
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_pyfunc_call(pyfuncitem: pytest.Function) -> bool | None:
-    """Plays a coroutine test; `pytest.mark.time_limit(seconds)` allows it another time than `LIMIT_S`."""
+    """Runs a coroutine test; `pytest.mark.time_limit(seconds)` sets a time limit other than `LIMIT_S`."""
     if not inspect.iscoroutinefunction(pyfuncitem.obj):
         return None
     arguments = {name: pyfuncitem.funcargs[name] for name in pyfuncitem._fixtureinfo.argnames}
@@ -38,27 +38,27 @@
     return True
 
 
-async def until(true: Callable[[], Any], seconds: float = 10) -> None:
-    """Waits for a condition; fails the test after about that time."""
+async def until(condition: Callable[[], Any], seconds: float = 10) -> None:
+    """Waits until a condition is true, and fails the test after about `seconds`."""
     for _ in range(int(seconds / 0.005)):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it never came to that")
+    raise AssertionError("the condition did not become true in time")
 
 
-async def ended(*tasks: asyncio.Task[Any]) -> None:
-    """Cancels tasks, and waits until they have ended."""
+async def cancel_and_wait(*tasks: asyncio.Task[Any]) -> None:
+    """Cancels tasks and waits until they have ended."""
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
 @asynccontextmanager
-async def running(life: Coroutine[Any, Any, Any]):
-    """A task that is ended with the block."""
-    task = asyncio.create_task(life)
+async def running(coroutine: Coroutine[Any, Any, Any]):
+    """Runs a coroutine as a task, which is cancelled at the end of the block."""
+    task = asyncio.create_task(coroutine)
     try:
         yield task
     finally:
-        await ended(task)
+        await cancel_and_wait(task)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What every test is held to beside its own assertions."""
+"""Pytest hooks, and the checks that every test must pass in addition to its own assertions."""
 
 from __future__ import annotations
 
@@ -12,34 +12,35 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """`async_tests.py` runs coroutine tests; those in `KNOWN-RED.txt` may fail, see `known_red.py`."""
+    """Registers the plugin that runs coroutine tests, and the one for the tests listed in `KNOWN-RED.txt`."""
     config.addinivalue_line("markers", "time_limit(seconds): how long a coroutine test may take")
     config.pluginmanager.register(async_tests, "async-tests")
-    if listed := known_red.read(config.rootpath / known_red.FILE):
+    if listed := known_red.read_list(config.rootpath / known_red.FILE):
         config.pluginmanager.register(known_red.KnownRed(listed), "known-red")
 
 
-class Complaints(logging.Handler):
-    """What asyncio says of tasks never awaited, exceptions never retrieved and faults in callbacks."""
+class AsyncioErrors(logging.Handler):
+    """Collects what asyncio logs about pending tasks, unretrieved exceptions and errors in callbacks."""
 
     def __init__(self) -> None:
         super().__init__(logging.ERROR)
-        self.said: list[str] = []
+        self.messages: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.said.append(self.format(record))
+        self.messages.append(self.format(record))
 
 
 @pytest.fixture(autouse=True)
-def nothing_is_left() -> Iterator[None]:
-    """No task destroyed while pending, no exception that nobody heard; open sockets and coroutines never
-    awaited are errors by the filters in `pyproject.toml`.
+def no_asyncio_errors() -> Iterator[None]:
+    """Fails a test that leaves a pending task to be destroyed or an exception that is never retrieved.
+
+    Sockets left open and coroutines never awaited are errors by the filters in `pyproject.toml`.
     """
-    complaints = Complaints()
-    logging.getLogger("asyncio").addHandler(complaints)
+    errors = AsyncioErrors()
+    logging.getLogger("asyncio").addHandler(errors)
     try:
         yield
         gc.collect()
     finally:
-        logging.getLogger("asyncio").removeHandler(complaints)
-    assert not complaints.said, "\n".join(complaints.said)
+        logging.getLogger("asyncio").removeHandler(errors)
+    assert not errors.messages, "\n".join(errors.messages)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,9 +1,9 @@
-"""The tests that are known to fail: `KNOWN-RED.txt` at the root, a line each, three at most.
+"""Lets the tests listed in `KNOWN-RED.txt` fail without failing the run.
 
-A line is `test node id | cause | issue`. A listed test is run; its failure does not fail the run. All listed
-tests are named at the end of the run, those that pass with the advice to take them off the list. Without the
-file nothing is done. A file that cannot be read, or that names a test that does not exist, ends the run
-before its first test.
+The file at the root has one line per test, `test node id | cause | issue`, and at most three lines. A listed
+test is run, and its failure does not fail the run. The summary prints all listed tests, and asks to remove
+those that pass from the list. Without the file, the plugin is not registered. A file that cannot be read, or
+that names a test that does not exist, ends the run before its first test.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 FILE = "KNOWN-RED.txt"
 SEPARATOR = " | "
-MOST = 3  # a longer list is a broken suite
+MAX_LISTED = 3  # a longer list means that the suite is broken
 
 
-class Known(NamedTuple):
-    """One listed test."""
+class KnownFailure(NamedTuple):
+    """One line of the list."""
 
-    test: str  # its node id, as pytest prints it
+    test: str  # the node id, as pytest prints it
     cause: str
     issue: str
 
 
-def read(path: Path) -> tuple[Known, ...]:
-    """The listed tests, none where there is no file.
+def read_list(path: Path) -> tuple[KnownFailure, ...]:
+    """Reads the list; it is empty if there is no file.
 
-    Raises `pytest.UsageError` with file and line for more than `MOST` tests, a line without its three parts,
-    a test that stands twice, and bytes that are no text.
+    Raises `pytest.UsageError` for more than `MAX_LISTED` tests, a line that does not have three parts, a test
+    that is listed twice (all with file and line), and a file that cannot be read as UTF-8.
     """
     if not path.exists():
         return ()
@@ -38,30 +38,30 @@
         lines = path.read_text("utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise pytest.UsageError(f"{path.name}: {error}") from None
-    listed: dict[str, Known] = {}
+    listed: dict[str, KnownFailure] = {}
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         parts = [part.strip() for part in line.rsplit(SEPARATOR, 2)]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
             raise pytest.UsageError(f"{path.name}:{number}: not `test node id | cause | issue`: {line!r}")
-        known = Known(*parts)
+        known = KnownFailure(*parts)
         if known.test in listed:
-            raise pytest.UsageError(f"{path.name}:{number}: stands twice: {known.test}")
-        if len(listed) == MOST:
-            raise pytest.UsageError(f"{path.name}:{number}: more than {MOST} tests")
+            raise pytest.UsageError(f"{path.name}:{number}: listed twice: {known.test}")
+        if len(listed) == MAX_LISTED:
+            raise pytest.UsageError(f"{path.name}:{number}: more than {MAX_LISTED} tests")
         listed[known.test] = known
     return tuple(listed.values())
 
 
 class KnownRed:
-    """The pytest plugin: marks the listed tests, and names them at the end."""
+    """The pytest plugin that marks the listed tests as expected failures and prints them in the summary."""
 
-    def __init__(self, listed: tuple[Known, ...]) -> None:
+    def __init__(self, listed: tuple[KnownFailure, ...]) -> None:
         self.listed = listed
-        self.failed: dict[str, bool] = {}  # listed tests that ran: whether any phase failed
+        self.failed: dict[str, bool] = {}  # for each listed test that ran: whether any phase failed
 
-    @pytest.hookimpl(tryfirst=True)  # before -k and --deselect take tests away
+    @pytest.hookimpl(tryfirst=True)  # before -k and --deselect remove tests
     def pytest_collection_modifyitems(
         self, session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
     ) -> None:
@@ -85,18 +85,18 @@
             terminalreporter.line(f"{state}: {known.test}{SEPARATOR}{known.cause}{SEPARATOR}{known.issue}")
 
     def state(self, test: str) -> str:
-        """What became of a listed test in this run."""
+        """The outcome of a listed test in this run."""
         if test not in self.failed:
             return "not run"
-        return "fails as listed" if self.failed[test] else "PASSES, take it off the list"
+        return "fails as listed" if self.failed[test] else "PASSES, remove it from the list"
 
 
 def should_be_collected(config: pytest.Config, test: str) -> bool:
-    """Whether a run with these arguments collects the whole file of a test, if there is one."""
+    """Whether a run with these arguments collects the whole file of a test; true if the file is missing."""
     file = config.rootpath / test.split("::")[0]
     if not file.exists():
         return True
     if config.getoption("ignore") or config.getoption("ignore_glob") or config.getoption("lf", False):
         return False
-    asked = [config.invocation_params.dir / argument for argument in config.args if "::" not in argument]
-    return any(path.resolve() in (file.resolve(), *file.resolve().parents) for path in asked)
+    requested = [config.invocation_params.dir / argument for argument in config.args if "::" not in argument]
+    return any(path.resolve() in (file.resolve(), *file.resolve().parents) for path in requested)
--- a/tests/planted_controller.py
+++ b/tests/planted_controller.py
@@ -1,4 +1,7 @@
-"""A controller with a planted fault, by its name: `real-0` is too busy, `real-1` hears of changes late."""
+"""A controller with a deliberate fault, chosen by its name.
+
+`real-0` uses too much processor time; `real-1` applies updates from the registry late.
+"""
 
 from __future__ import annotations
 
@@ -13,32 +16,32 @@
 from lapispass.net.http import HttpConnection
 from lapispass.net.registry import Registry
 
-LATE_S = 2.5
-BUSY_S = 0.02  # of processor time, then a pause as long
+UPDATE_DELAY_S = 2.5
+BUSY_PERIOD_S = 0.02  # of processor time, followed by a pause of the same length
 
 
 class LateRegistry(Registry):
-    """Takes the whole list at once, and changes of it much later."""
+    """Applies a complete list at once, and changes to it `UPDATE_DELAY_S` later."""
 
     def take(self, listing: Listing, link: HttpConnection | None = None) -> None:
         if listing.whole or not listing.entries:
             super().take(listing, link)
         else:
-            asyncio.get_running_loop().call_later(LATE_S, super().take, listing, None)
+            asyncio.get_running_loop().call_later(UPDATE_DELAY_S, super().take, listing, None)
 
 
-def burn() -> None:
-    """Takes about half a core."""
+def burn_cpu() -> None:
+    """Uses about half a core."""
     while True:
-        until = time.thread_time() + BUSY_S
+        until = time.thread_time() + BUSY_PERIOD_S
         while time.thread_time() < until:
             pass
-        time.sleep(BUSY_S)
+        time.sleep(BUSY_PERIOD_S)
 
 
 if __name__ == "__main__":
     if os.environ["LB_NAME"] == "real-0":
-        threading.Thread(target=burn, daemon=True).start()
+        threading.Thread(target=burn_cpu, daemon=True).start()
     if os.environ["LB_NAME"] == "real-1":
         service.Registry = LateRegistry
     sys.exit(service.main())
--- a/tests/support_gate.py
+++ b/tests/support_gate.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from async_tests import ended, until
+from async_tests import cancel_and_wait, until
 from fleet import deployment
 
 from lapispass.cli.fronts import attach, joined
@@ -225,7 +225,7 @@
 
     async def kill_controller(self) -> None:
         task = self.tasks.pop("controller")
-        await ended(task)
+        await cancel_and_wait(task)
 
     async def gate(self, name: str) -> Gate:
         """Starts a gate, and waits until it has a whole table and a plan."""
@@ -248,7 +248,7 @@
             if tunnel.node is not None:
                 tunnel.node.writer.transport.abort()
         gate.limits = replace(gate.limits, stop_us=0)
-        await ended(task)
+        await cancel_and_wait(task)
 
     def url(self, name: str, target: str) -> str:
         return f"ws://{self.gates[name].address}{target}"
--- a/tests/test_async_tests.py
+++ b/tests/test_async_tests.py
@@ -1,4 +1,4 @@
-"""Coroutine tests run to their end, with fixtures and limits, and what they leave behind is named."""
+"""Coroutine tests run to their end with fixtures and time limits, and fail if they leave a task behind."""
 
 from __future__ import annotations
 
@@ -36,7 +36,11 @@
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\nfilterwarnings = ["error"]\n')
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
     environment = {**os.environ, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
-    done = subprocess.run(command, cwd=tmp_path, env=environment, capture_output=True, text=True, timeout=120)
-    assert done.returncode == 1 and "3 failed, 2 passed" in done.stdout, done.stdout + done.stderr
+    completed = subprocess.run(
+        command, cwd=tmp_path, env=environment, capture_output=True, text=True, timeout=120
+    )
+    assert completed.returncode == 1 and "3 failed, 2 passed" in completed.stdout, (
+        completed.stdout + completed.stderr
+    )
     for failed in ("test_parameters[2]", "test_leaves_a_task", "test_over_its_limit"):
-        assert f"FAILED test_sample.py::{failed}" in done.stdout, done.stdout
+        assert f"FAILED test_sample.py::{failed}" in completed.stdout, completed.stdout
--- a/tests/test_collectors.py
+++ b/tests/test_collectors.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from fleet import SECOND
 from parties import (
     CODEC,
@@ -94,7 +94,7 @@
         await connect(JOIN + LOAD_LINE)
         await until(lambda: events)
         assert collectors.counters["collectors.crowded_out"] == 1
-        await ended(*asking)
+        await cancel_and_wait(*asking)
 
 
 async def test_clients_in_the_midst_of_a_message_stay_where_others_are_idle() -> None:
--- a/tests/test_fault_days.py
+++ b/tests/test_fault_days.py
@@ -1,4 +1,4 @@
-"""A real controller process under many faults at once: every request on a sound connection is answered."""
+"""A real controller process under several faults at once answers every request on an intact connection."""
 
 from __future__ import annotations
 
@@ -17,14 +17,17 @@
 PING, PONG = b"PING\r\n", b"PONG\r\n"
 DAY_S = 6.0
 PAUSE_S = 0.3
-LINES_OF_A_KIND_S = 1.1  # lines of a kind come once a second
-BREAKS_MOST = 5  # attempts at an error that must meet one connection of several
-DUE_S = 0.5 + 2 * PAUSE_S  # of half a second in which the process runs: two pauses may fall into it
+LOG_LIMIT_S = 1.1  # the log writes lines of the same kind at most once a second
+MAX_ATTEMPTS = 5  # to make an error hit a client's connection, not another one
+ANSWER_LIMIT_S = 0.5 + 2 * PAUSE_S  # 0.5 s in which the process runs, and two pauses that may fall into it
 
 
 async def client(running: Controller, chance: random.Random, until: float, lost: list[str]) -> int:
-    """Asks on connections that it keeps for a while; how often it asked. Waits lie around the limits too."""
-    loop, asked = asyncio.get_running_loop(), 0
+    """Sends requests on connections that it keeps for a while; returns their number.
+
+    Some waits are close to the idle time-out of 1 s.
+    """
+    loop, request_count = asyncio.get_running_loop(), 0
     while loop.time() < until:
         reader, writer = await running.connect()
         opened = loop.time()
@@ -34,9 +37,9 @@
             writer.write(message[:cut])
             await asyncio.sleep(chance.choice((0, 0, 0.05)))
             writer.write(message[cut:])
-            asked += 1
+            request_count += 1
             try:
-                async with asyncio.timeout(DUE_S):
+                async with asyncio.timeout(ANSWER_LIMIT_S):
                     answer = await reader.readexactly(len(message))
                 if answer != PONG * (len(message) // len(PING)):
                     lost.append(f"{answer!r} after {loop.time() - opened:.3f} s")
@@ -45,11 +48,11 @@
                 break
             await asyncio.sleep(chance.choice((0, 0.1, 0.9, 0.99, 1.0, 1.01, 1.1)))
         writer.close()
-    return asked
+    return request_count
 
 
-async def trouble(running: Controller, chance: random.Random, until: float) -> None:
-    """A few faults at a time, clock steps and short pauses."""
+async def inject_faults(running: Controller, chance: random.Random, until: float) -> None:
+    """Injects a few faults at a time, clock steps and short pauses of the process."""
     loop = asyncio.get_running_loop()
     while loop.time() < until:
         chosen = running.faults.inject_random(chance)
@@ -68,12 +71,12 @@
         chance, lost = random.Random(seed), []
         async with controller(tmp_path) as running:
             until = asyncio.get_running_loop().time() + DAY_S
-            lives = [client(running, random.Random(chance.random()), until, lost) for _ in range(12)]
-            asked = await asyncio.gather(*lives, trouble(running, chance, until))
+            clients = [client(running, random.Random(chance.random()), until, lost) for _ in range(12)]
+            request_counts = await asyncio.gather(*clients, inject_faults(running, chance, until))
             counters = await running.counters()
             running.signal(signal.SIGTERM)
             status = await running.wait_for_exit()
-        assert not lost and sum(asked[:-1]) > 50, (lost, asked)
+        assert not lost and sum(request_counts[:-1]) > 50, (lost, request_counts)
         assert counters["collectors.pings"] > 50 and status == 0
         assert not [line for line in running.lines if "trace=" in line]
 
@@ -81,8 +84,10 @@
 
 
 @asynccontextmanager
-async def asking(running: Controller) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
-    """A client that has had an answer; its connection is closed however the test goes on."""
+async def answered_client(
+    running: Controller,
+) -> AsyncIterator[tuple[asyncio.StreamReader, asyncio.StreamWriter]]:
+    """A client that has received an answer; its connection is closed at the end of the block in any case."""
     reader, writer = await running.connect()
     try:
         writer.write(PING)
@@ -93,13 +98,13 @@
 
 
 async def break_a_connection(running: Controller, error: int) -> None:
-    """The process's next read from a client's connection fails.
+    """Makes the process's next read from a client's connection fail.
 
-    The streams of relay and registry are read by the same call, and may take the error before: the client is
-    answered then, and another one is tried.
+    The streams of relay and registry are read by the same call, so one of them may get the error instead.
+    The client is answered in that case, and another client is tried.
     """
-    for _ in range(BREAKS_MOST):
-        async with asking(running) as (reader, writer):
+    for _ in range(MAX_ATTEMPTS):
+        async with answered_client(running) as (reader, writer):
             running.faults.set(Call.RECEIVE, error, times=1)
             writer.write(PING)
             try:
@@ -108,12 +113,12 @@
                 answer = b""
         if not answer:
             return
-        await asyncio.sleep(LINES_OF_A_KIND_S)
-    raise AssertionError(f"{errno_name(error)}: no client's connection broke")
+        await asyncio.sleep(LOG_LIMIT_S)
+    raise AssertionError(f"{errno_name(error)}: no client's connection was broken")
 
 
 def test_a_broken_connection_is_named_as_such_and_all_parties_are_found_again(tmp_path: Path) -> None:
-    # ETIMEDOUT of a connection was logged as idle time.
+    # Guards against a connection that ends with ETIMEDOUT and is logged as idle.
     async def test() -> None:
         async with controller(tmp_path) as running:
             for error in (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET, errno.ENETDOWN):
@@ -122,13 +127,13 @@
                 line = await running.wait_for_log('why="connection error: ', after)
                 assert "connection ended" in line and f"Errno {error}" in line, errno_name(error)
                 after = len(running.lines)
-                running.faults.set(Call.RECEIVE, error, times=4)  # the streams of relay and registry, too
+                running.faults.set(Call.RECEIVE, error, times=4)  # also for the streams of relay and registry
                 await running.wait_for_log("news lost", after, limit_s=5)
                 running.faults.clear(Call.RECEIVE)
                 await running.wait_for_log("news open", after, limit_s=5)
-                async with asking(running):
+                async with answered_client(running):
                     pass
-                await asyncio.sleep(LINES_OF_A_KIND_S)
+                await asyncio.sleep(LOG_LIMIT_S)
             running.signal(signal.SIGTERM)
             assert await running.wait_for_exit() == 0
 
--- a/tests/test_fault_layer.py
+++ b/tests/test_fault_layer.py
@@ -1,4 +1,4 @@
-"""The fault layer reaches every system call that a process imports, or says why it leaves it out."""
+"""The fault shim interposes every system call that a process imports, or documents why it does not."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 SYMBOL = struct.Struct("<IBBHQQ")
 DYNAMIC_SYMBOLS = 11  # the type of the section
 C_LIBRARY = re.compile(r"/(libc|libm|libdl|libpthread|librt|ld-linux\S*)\.so")
-LEFT_OUT = re.compile(r"^ \* - ([a-z0-9_,\s*]+):\s", re.MULTILINE)
+EXCLUDED = re.compile(r"^ \* - ([a-z0-9_,\s*]+):\s", re.MULTILINE)
 
 
-def imported(library: Path) -> Iterator[str]:
-    """The functions and variables that a shared object wants from others, by its dynamic symbols."""
+def imported_symbols(library: Path) -> Iterator[str]:
+    """The functions and variables that a shared object imports from others, by its dynamic symbols."""
     image = library.read_bytes()
     assert image.startswith(ELF_MAGIC), library
     (table_at,) = struct.unpack_from("<Q", image, SECTION_HEADERS_AT)
@@ -42,7 +42,7 @@
 
 @cache
 def system_calls() -> frozenset[str]:
-    """All system calls of this machine, by the C compiler's headers, and their forms with large offsets."""
+    """All system calls of this machine by the C headers, with their variants for large offsets."""
     text = subprocess.run(
         ["cc", "-E", "-dM", "-include", "sys/syscall.h", "-x", "c", "/dev/null"],
         check=True,
@@ -53,30 +53,30 @@
     return frozenset(names | {name + "64" for name in names} | {"recv", "send", "epoll_create1", "wait"})
 
 
-def covered() -> frozenset[str]:
-    """What the shim says that it covers."""
+def interposed_calls() -> frozenset[str]:
+    """The calls that the shim lists as interposed."""
     names = (ctypes.c_char_p * 256).in_dll(ctypes.CDLL(str(shim())), "covered_calls")
     listed = []
     for name in names:
         if name is None:
             return frozenset(listed)
         listed.append(name.decode())
-    raise AssertionError("the list has no end")
+    raise AssertionError("covered_calls is not terminated by a null pointer within 256 names")
 
 
-def left_out() -> frozenset[str]:
-    """What the shim's comment gives a reason for."""
+def excluded_calls() -> frozenset[str]:
+    """The calls that the shim does not interpose, for a reason given in its head comment."""
     comment = SHIM.read_text().partition("*/")[0]
-    return frozenset(name for names in LEFT_OUT.findall(comment) for name in re.findall(r"\w+", names))
+    return frozenset(name for names in EXCLUDED.findall(comment) for name in re.findall(r"\w+", names))
 
 
-def calls_of(running: Controller) -> set[str]:
-    """The system calls that the objects import which a process has loaded."""
+def imported_calls(running: Controller) -> set[str]:
+    """The system calls that are imported by the shared objects that a process has loaded."""
     maps = Path(f"/proc/{running.process.pid}/maps").read_text().split()
     libraries = {word for word in maps if ".so" in word and not C_LIBRARY.search(word)}
     assert any("_socket" in library for library in libraries) and str(shim()) in libraries
-    wanted = {name for library in libraries - {str(shim())} for name in imported(Path(library))}
-    return wanted & system_calls()
+    imported = {name for library in libraries - {str(shim())} for name in imported_symbols(Path(library))}
+    return imported & system_calls()
 
 
 def test_the_two_lists_of_calls_are_the_same() -> None:
@@ -86,26 +86,31 @@
 
 def test_each_call_that_is_listed_is_interposed() -> None:
     defined = subprocess.run(["cc", "-E", "-P", str(SHIM)], check=True, capture_output=True, text=True).stdout
-    assert {name for name in covered() if not re.search(rf"\b{name}\([^;{{}}]*\) \{{", defined)} == set()
+    assert {
+        name for name in interposed_calls() if not re.search(rf"\b{name}\([^;{{}}]*\) \{{", defined)
+    } == set()
     library = ctypes.CDLL(str(shim()))
-    assert {name for name in covered() if not hasattr(library, name)} == set()
-    assert not covered() & left_out()
+    assert {name for name in interposed_calls() if not hasattr(library, name)} == set()
+    assert not interposed_calls() & excluded_calls()
 
 
 def test_each_system_call_that_a_process_imports_can_be_made_to_fail_or_has_a_reason(tmp_path: Path) -> None:
-    # epoll_ctl and close were not reached: connections that were never registered went unseen.
+    # Guards against a shim that does not interpose epoll_ctl and close: connections that were never
+    # registered for events then went unnoticed.
     async def test() -> None:
-        wanted = {}
+        imported = {}
         async with controller(tmp_path) as running:
-            wanted["controller"] = calls_of(running)
+            imported["controller"] = imported_calls(running)
         faults, file = Faults(tmp_path / "faults"), tmp_path / "operator.textproto"
         for verb, form in (("gate", FILE), ("run", XDS_FILE)):
             address = free_address()
             file.write_text(form.format(listen="{}:{}".format(*address)))
             async with process((verb, "-o", str(file)), faults, address, "listening", {}) as running:
-                wanted[verb] = calls_of(running)
-        assert {"accept4", "epoll_ctl", "close"} <= wanted["controller"]
-        missing = {who: sorted(calls - covered() - left_out()) for who, calls in wanted.items()}
+                imported[verb] = imported_calls(running)
+        assert {"accept4", "epoll_ctl", "close"} <= imported["controller"]
+        missing = {
+            who: sorted(calls - interposed_calls() - excluded_calls()) for who, calls in imported.items()
+        }
         assert not any(missing.values()), missing
 
     play(test())
@@ -119,7 +124,7 @@
                 before = running.faults.injected(Call.CLOSE)
                 reader, writer = await running.connect()
                 writer.write(b"odd\r\n")
-                assert await reader.read() == b"NACK why=unreadable\r\n"  # and the end
+                assert await reader.read() == b"NACK why=unreadable\r\n"  # and then the end of the stream
                 writer.close()
                 assert running.faults.injected(Call.CLOSE) > before
             running.faults.clear(Call.CLOSE)
--- a/tests/test_fault_rules.py
+++ b/tests/test_fault_rules.py
@@ -1,4 +1,4 @@
-"""Rule 2 on a real controller process whose system calls fail, whose clock is stepped and which is paused."""
+"""Rule 2 holds on a real controller process with failing system calls, clock steps and pauses."""
 
 from __future__ import annotations
 
@@ -43,18 +43,18 @@
     "limits": {"probes": False},
     "rules": {"cold-us": 1, "start-capacity": 0.2, "fall-multiple": 2.5},
 }
-BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
-MENU = (
+CONNECTION_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
+CALL_FAULTS = (
     *((Call.SOCKET, error) for error in (errno.ENFILE, errno.ENOBUFS)),
     *((Call.CONNECT, error) for error in (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EINTR, errno.EAGAIN)),
-    *((Call.SEND, error) for error in (SHORT, errno.EINTR, errno.EAGAIN, errno.EPIPE, *BROKEN)),
-    *((Call.RECEIVE, error) for error in (SHORT, errno.EINTR, errno.EAGAIN, *BROKEN)),
+    *((Call.SEND, error) for error in (SHORT, errno.EINTR, errno.EAGAIN, errno.EPIPE, *CONNECTION_ERRORS)),
+    *((Call.RECEIVE, error) for error in (SHORT, errno.EINTR, errno.EAGAIN, *CONNECTION_ERRORS)),
     (Call.WAIT, errno.EINTR),
 )
 
 
-async def trouble(running: Controller, world: World, roll: Roll, chance: random.Random) -> None:
-    """One thing that goes wrong."""
+async def inject_trouble(running: Controller, world: World, roll: Roll, chance: random.Random) -> None:
+    """Picks one at random: a proxy leaves or joins, a fault is injected, or the registry changes."""
     match chance.randrange(10):
         case 0 | 1:
             world.leave(chance.randrange(PROXIES))
@@ -69,7 +69,7 @@
             await asyncio.sleep(chance.uniform(0.05, 0.3))
             running.signal(signal.SIGCONT)
         case 7:
-            call, error = chance.choice(MENU)
+            call, error = chance.choice(CALL_FAULTS)
             running.faults.set(
                 call, error, times=chance.randint(1, 30), thousandths=chance.choice((100, 500))
             )
@@ -82,14 +82,14 @@
 async def test_rule_2_holds_on_a_process_whose_calls_fail(tmp_path: Path, seed: int) -> None:
     world, roll = World(seed, SLICES, PROXIES), Roll()
     members = [{**MEMBER, "id": f"s-{number}"} for number in range(3)]
-    told = {"settings": SETTINGS, "members": members, "relay": world, "registry": roll}
-    async with controller(tmp_path, **told) as running:
-        begun = world.loop.time()
-        # On a slow machine until slices have moved: the count below needs no fast one.
+    arguments = {"settings": SETTINGS, "members": members, "relay": world, "registry": roll}
+    async with controller(tmp_path, **arguments) as running:
+        start = world.loop.time()
+        # A slow machine gets more time, until more than 3 slices have moved, as the assertion below requires.
         while not world.broken and (
-            (elapsed := world.loop.time() - begun) < DAY_S or (world.moves <= 3 and elapsed < 60)
+            (elapsed := world.loop.time() - start) < DAY_S or (world.moves <= 3 and elapsed < 60)
         ):
-            await trouble(running, world, roll, world.chance)
+            await inject_trouble(running, world, roll, world.chance)
             await asyncio.sleep(world.chance.uniform(0.01, 0.08))
             world.look()
         assert not world.broken, (world.broken, running.lines)
--- a/tests/test_gate_fleet.py
+++ b/tests/test_gate_fleet.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from parties import LoopbackServer
 from support_gate import DEPLOYMENT, MS, SHORT_LIMITS, Fleet, fleet, take_upgrade, until
 from websockets.asyncio.client import ClientConnection, connect
@@ -184,7 +184,7 @@
         await until(lambda: all(screen.open for screen in screens), 15)
         await asyncio.sleep(0.3)
         await until(lambda: sum(len(node.writes) for node in env.nodes.values()) > 40, 60)
-        await ended(*running)
+        await cancel_and_wait(*running)
         assert env.breaches() == []
         ends = [end for screen in screens for end in screen.ends if end.reason]
         assert ends and all(end.code == 1012 for end in ends)
@@ -350,7 +350,7 @@
         await until(lambda: client.writes_to(0) == "n1")
         await until(lambda: len(env.gates["g0"].steering.tables.owners) == 12)
         assert set(env.gates["g0"].steering.tables.owners.values()) == {"n1"}
-        await ended(running)
+        await cancel_and_wait(running)
 
 
 async def test_a_till_whose_message_waits_is_closed_in_order_and_at_once(tmp_path: Path) -> None:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,7 @@
-"""`KNOWN-RED.txt`: just the listed tests may fail, and all of them are named; run on a folder of its own."""
+"""Only the tests listed in `KNOWN-RED.txt` may fail, and all of them are printed.
+
+Each test starts pytest in a temporary folder with sample tests.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +37,7 @@
 
 
 class Run:
-    """A folder with a sample of tests, the hook, and a list."""
+    """A folder with sample tests, the pytest hooks and a list of known failures."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -45,17 +48,17 @@
         (tests / "test_sample.py").write_text(SAMPLE)
         (folder / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
 
-    def list(self, *lines: str) -> None:
+    def write_list(self, *lines: str) -> None:
         (self.folder / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
 
     def __call__(self, *arguments: str) -> tuple[int, str]:
-        """Exit status and everything printed."""
+        """Runs pytest; returns its exit status and output."""
         command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *arguments]
         environment = {**os.environ, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}
-        done = subprocess.run(
+        completed = subprocess.run(
             command, cwd=self.folder, env=environment, capture_output=True, text=True, timeout=120
         )
-        return done.returncode, done.stdout + done.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
 
 @pytest.fixture
@@ -63,72 +66,74 @@
     return Run(tmp_path)
 
 
-def line(test: str) -> str:
+def entry(test: str) -> str:
     return f"tests/test_sample.py::{test} | a fault | issue 36"
 
 
 def test_without_the_file_nothing_happens(run: Run) -> None:
-    status, said = run()
-    assert status == 1 and "3 failed, 3 passed, 2 errors" in said, said
-    assert "KNOWN-RED" not in said
+    status, output = run()
+    assert status == 1 and "3 failed, 3 passed, 2 errors" in output, output
+    assert "KNOWN-RED" not in output
 
 
 def test_just_the_listed_tests_may_fail_and_are_named(run: Run) -> None:
-    run.list(line("test_red"), line("test_red_for_one[a | b]"))
-    status, said = run()
-    assert status == 1, "others are red, too"
-    assert f"fails as listed: {line('test_red')}" in said
-    assert f"fails as listed: {line('test_red_for_one[a | b]')}" in said
-    assert "FAILED tests/test_sample.py::test_other_red" in said
-    assert "FAILED tests/test_sample.py::test_red " not in said
-    assert "1 failed, 3 passed, 2 xfailed, 2 errors" in said, said
+    run.write_list(entry("test_red"), entry("test_red_for_one[a | b]"))
+    status, output = run()
+    assert status == 1, "other tests fail, too"
+    assert f"fails as listed: {entry('test_red')}" in output
+    assert f"fails as listed: {entry('test_red_for_one[a | b]')}" in output
+    assert "FAILED tests/test_sample.py::test_other_red" in output
+    assert "FAILED tests/test_sample.py::test_red " not in output
+    assert "1 failed, 3 passed, 2 xfailed, 2 errors" in output, output
 
 
 def test_a_run_whose_red_tests_are_all_listed_passes(run: Run) -> None:
-    run.list(line("test_red"), "", line("test_other_red"))
-    status, said = run("-k", "test_green or test_other_red or (test_red and not for_one and not red_at)")
+    run.write_list(entry("test_red"), "", entry("test_other_red"))
+    status, output = run("-k", "test_green or test_other_red or (test_red and not for_one and not red_at)")
     assert (
-        status == 0 and said.count("fails as listed: ") == 2 and "1 passed, 4 deselected, 2 xfailed" in said
-    ), said
+        status == 0
+        and output.count("fails as listed: ") == 2
+        and "1 passed, 4 deselected, 2 xfailed" in output
+    ), output
 
 
 @pytest.mark.parametrize("test", ["test_red_at_setup", "test_red_at_teardown"])
 def test_a_listed_test_may_fail_in_each_of_its_phases(run: Run, test: str) -> None:
-    run.list(line(test))
-    status, said = run("-k", test)
-    assert status == 0 and f"fails as listed: {line(test)}" in said, said
+    run.write_list(entry(test))
+    status, output = run("-k", test)
+    assert status == 0 and f"fails as listed: {entry(test)}" in output, output
 
 
 def test_a_listed_test_that_passes_is_named(run: Run) -> None:
-    run.list(line("test_green"))
-    status, said = run("-k", "green")
-    assert status == 0 and f"PASSES, take it off the list: {line('test_green')}" in said, said
+    run.write_list(entry("test_green"))
+    status, output = run("-k", "green")
+    assert status == 0 and f"PASSES, remove it from the list: {entry('test_green')}" in output, output
 
 
 def test_a_listed_test_outside_a_partial_run_is_named_and_not_missed(run: Run) -> None:
-    run.list(line("test_red"))
+    run.write_list(entry("test_red"))
     for arguments in (("-k", "green"), ("tests/test_sample.py::test_green",)):
-        status, said = run(*arguments)
-        assert status == 0 and f"not run: {line('test_red')}" in said, said
+        status, output = run(*arguments)
+        assert status == 0 and f"not run: {entry('test_red')}" in output, output
 
 
 @pytest.mark.parametrize(
     ("lines", "complaint"),
     [
-        ([line(f"test_{n}") for n in range(4)], "KNOWN-RED.txt:4: more than 3 tests"),
-        ([line("test_red"), "test_red"], "KNOWN-RED.txt:2: not `test node id | cause | issue`: 'test_red'"),
+        ([entry(f"test_{n}") for n in range(4)], "KNOWN-RED.txt:4: more than 3 tests"),
+        ([entry("test_red"), "test_red"], "KNOWN-RED.txt:2: not `test node id | cause | issue`: 'test_red'"),
         (["tests/test_sample.py::test_red |  | issue 36"], "KNOWN-RED.txt:1: not `test node id"),
         (["test_red | a fault | issue 36"], "KNOWN-RED.txt:1: not `test node id"),
         (["# a remark"], "KNOWN-RED.txt:1: not `test node id"),
-        ([line("test_red"), line("test_red")], "KNOWN-RED.txt:2: stands twice"),
+        ([entry("test_red"), entry("test_red")], "KNOWN-RED.txt:2: listed twice"),
     ],
 )
 def test_a_list_that_cannot_be_read_ends_the_run_before_its_first_test(
     run: Run, lines: list[str], complaint: str
 ) -> None:
-    run.list(*lines)
-    status, said = run()
-    assert status == pytest.ExitCode.USAGE_ERROR and complaint in said and "passed" not in said, said
+    run.write_list(*lines)
+    status, output = run()
+    assert status == pytest.ExitCode.USAGE_ERROR and complaint in output and "passed" not in output, output
 
 
 @pytest.mark.parametrize("arguments", [(), ("tests",), ("tests/test_sample.py", "-k", "green")])
@@ -139,20 +144,20 @@
 def test_a_listed_test_that_does_not_exist_ends_the_run_before_its_first_test(
     run: Run, test: str, arguments: tuple[str, ...]
 ) -> None:
-    run.list(f"{test} | a fault | issue 36")
-    status, said = run(*arguments)
-    assert status == pytest.ExitCode.USAGE_ERROR and f"there is no test {test}" in said, said
-    assert "passed" not in said
+    run.write_list(f"{test} | a fault | issue 36")
+    status, output = run(*arguments)
+    assert status == pytest.ExitCode.USAGE_ERROR and f"there is no test {test}" in output, output
+    assert "passed" not in output
 
 
 def test_a_list_that_is_no_text_is_refused(run: Run) -> None:
     (run.folder / "KNOWN-RED.txt").write_bytes(b"\xff\xfe\n")
-    status, said = run()
-    assert status == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt: 'utf-8' codec" in said, said
+    status, output = run()
+    assert status == pytest.ExitCode.USAGE_ERROR and "KNOWN-RED.txt: 'utf-8' codec" in output, output
 
 
 def test_a_file_that_cannot_be_imported_is_told_as_such(run: Run) -> None:
-    run.list(line("test_red"))
+    run.write_list(entry("test_red"))
     (run.folder / "tests" / "test_sample.py").write_text("import nothing_of_that_name\n")
-    status, said = run()
-    assert status == pytest.ExitCode.INTERRUPTED and "nothing_of_that_name" in said, said
+    status, output = run()
+    assert status == pytest.ExitCode.INTERRUPTED and "nothing_of_that_name" in output, output
--- a/tests/test_lost_requests.py
+++ b/tests/test_lost_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a real controller process are answered, whole and in time, whatever its system calls do."""
+"""Requests to a real controller process are answered completely and in time while its system calls fail."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from faulty_process import SHORT, Call, controller, errno_name
 
 PING, PONG = b"PING\r\n", b"PONG\r\n"
-DUE_S = 0.5  # for the answer to a request that a running process can read
-# What Linux documents for accept, beside faults of the caller.
+ANSWER_LIMIT_S = 0.5  # for the answer to a request that a running process can read
+# The errors that Linux documents for accept, except errors of the caller.
 ACCEPT_ERRORS = (
     errno.ECONNABORTED,
     errno.ENFILE,
@@ -31,53 +31,55 @@
     errno.EAGAIN,
     errno.ETIMEDOUT,
 )
-IDLE_S = 1.0  # from which on a connection that has not joined may be closed
+IDLE_LIMIT_S = 1.0  # a connection that has not joined may be closed after this time
 
 
-async def answer(reader: asyncio.StreamReader, limit_s: float = DUE_S) -> bytes:
-    """The next line, or what came of it until the connection ended or the time was over."""
-    said = b""
+async def read_answer(reader: asyncio.StreamReader, limit_s: float = ANSWER_LIMIT_S) -> bytes:
+    """The next line, or the part of it that arrived before the connection ended or the time was over."""
+    received = b""
     try:
         async with asyncio.timeout(limit_s):
-            while not said.endswith(b"\n"):
+            while not received.endswith(b"\n"):
                 if not (piece := await reader.read(1)):
                     break
-                said += piece
+                received += piece
     except TimeoutError:
-        return said + b" and then nothing in time"
+        return received + b" and then nothing in time"
     except OSError as error:
-        return said + str(error).encode()
-    return said
+        return received + str(error).encode()
+    return received
 
 
 async def test_a_request_that_came_in_time_is_answered_by_a_process_that_stood_still(tmp_path: Path) -> None:
-    # The timer of the idle second won over what had been read: the connection was ended without an answer.
+    # Guards against an idle time-out that takes precedence over a request already received: after a pause of
+    # the process, the connection was closed without an answer.
     async with controller(tmp_path) as running:
-        fresh, asked = await running.connect(), await running.connect()
-        asked[1].write(PING)
-        assert await answer(asked[0]) == PONG
+        fresh, answered = await running.connect(), await running.connect()
+        answered[1].write(PING)
+        assert await read_answer(answered[0]) == PONG
         await asyncio.sleep(0.3)
         running.signal(signal.SIGSTOP)
-        for _, writer in (fresh, asked):
+        for _, writer in (fresh, answered):
             writer.write(PING)
-        await asyncio.sleep(2 * IDLE_S)
+        await asyncio.sleep(2 * IDLE_LIMIT_S)
         running.signal(signal.SIGCONT)
-        got = [await answer(reader) for reader, _ in (fresh, asked)]
-        for _, writer in (fresh, asked):
+        answers = [await read_answer(reader) for reader, _ in (fresh, answered)]
+        for _, writer in (fresh, answered):
             writer.close()
-        assert got == [PONG, PONG]
+        assert answers == [PONG, PONG]
 
 
 async def test_new_connections_are_served_soon_after_accept_has_failed(tmp_path: Path) -> None:
-    # asyncio accepts nothing for a second after ENFILE: answers on new connections came that late.
+    # Guards against asyncio's pause of one second in accepting after ENFILE: answers on new connections were
+    # late by that time.
     late = {}
     async with controller(tmp_path) as running:
         for error in ACCEPT_ERRORS:
             running.faults.set(Call.ACCEPT, error, times=3)
             reader, writer = await running.connect()
             writer.write(PING)
-            if (got := await answer(reader)) != PONG:
-                late[errno_name(error)] = got
+            if (answer := await read_answer(reader)) != PONG:
+                late[errno_name(error)] = answer
             running.faults.clear(Call.ACCEPT)
             writer.close()
             await asyncio.sleep(0.05)
@@ -86,7 +88,8 @@
 
 
 async def test_answers_are_whole_where_transfers_are_short_or_interrupted(tmp_path: Path) -> None:
-    # What was not yet sent was dropped with the connection: half an answer, or none.
+    # Guards against output that is dropped with its connection before it is sent: clients received half an
+    # answer, or none.
     bad = {}
     async with controller(tmp_path) as running:
         for call, error in (
@@ -97,7 +100,7 @@
             (Call.RECEIVE, errno.EINTR),
             (Call.WAIT, errno.EINTR),
         ):
-            for said, expected in (
+            for sent, expected in (
                 (PING, PONG),
                 (PING * 20, PONG * 20),
                 (PING + b"\x00odd", PONG + b"NACK why=unreadable\r\n"),
@@ -105,15 +108,15 @@
             ):
                 running.faults.set(call, error, thousandths=900 if error == SHORT else 500)
                 reader, writer = await running.connect()
-                writer.write(said)
+                writer.write(sent)
                 writer.write_eof()
-                got = b""
+                answer = b""
                 try:
-                    got = await asyncio.wait_for(reader.read(), 2)
-                except OSError as failure:  # a reset, or nothing in time
-                    got = repr(failure).encode()
-                if got != expected:
-                    bad[call.name, errno_name(error), said[:20]] = got
+                    answer = await asyncio.wait_for(reader.read(), 2)
+                except OSError as failure:  # a reset or a time-out
+                    answer = repr(failure).encode()
+                if answer != expected:
+                    bad[call.name, errno_name(error), sent[:20]] = answer
                 running.faults.clear(call)
                 writer.close()
     assert not bad
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from hypothesis import given, settings
 from hypothesis import strategies as some
 from support_gate import until
@@ -248,7 +248,7 @@
         """Without a word: its lease runs out by itself."""
         self.hosts.pop(name)
         task = self.tasks.pop(name)
-        await ended(task)
+        await cancel_and_wait(task)
 
     def drain(self, state: str = "DRAINING") -> None:
         self.n0 = state
@@ -301,7 +301,7 @@
         assert all(host.takeover.records[n].epoch == epochs[n] + (n in dead) for n in range(12))
         stand.drain()  # what was taken is served: handovers go on
         await until(lambda: all(client.writes_to(n) in ("n1", "n2") for n in range(12)), 10)
-        await ended(running)
+        await cancel_and_wait(running)
 
 
 async def test_a_mark_waits_for_the_clients_of_the_other_controller(tmp_path: Path) -> None:
@@ -312,7 +312,7 @@
         clients[1].faults.late_s = 0.05
         stand.drain()
         await until(lambda: all(c.writes_to(n) in ("n1", "n2") for c in clients for n in range(12)), 15)
-        await ended(*running)
+        await cancel_and_wait(*running)
 
 
 async def test_a_newcomer_gets_its_share_without_a_wait_and_one_that_leaves_lets_go(tmp_path: Path) -> None:
@@ -431,5 +431,5 @@
                 client.address = host.xds_server.address
                 client.drop()
         await until(stand.whole, 15)
-        await ended(*running)
+        await cancel_and_wait(*running)
         assert sent > 50 and writes(carried, published, lambda key: slice_of(key, 12)) == []
--- a/tests/test_probes.py
+++ b/tests/test_probes.py
@@ -7,7 +7,7 @@
 
 import h11
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from configurations import listing
 from fleet import MS, SECOND, deployment
 from parties import (
@@ -139,5 +139,5 @@
         for number in range(6):
             probes.start(f"s-{number}", mute.address)
         await until(lambda: len(mute.writers) == 2)
-        await ended(*probes.close())
+        await cancel_and_wait(*probes.close())
         assert not probes.under_way and not heard and probes.counters["probes.sent"] == 2
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from configurations import CONFIG, GRADES, MEMBER, listing, write_config
 from fleet import MS, SECOND, acknowledgements, deployment, events_to_running, registry_changes, server
 from full_evaluation import FullEvaluation
@@ -93,7 +93,7 @@
     for backend, address in registry.addresses.items():
         probes.start(backend, address)
     assert len(probes.line) + len(probes.under_way) == MANY and not registry.counters["probes.left_out"]
-    await ended(*probes.close())
+    await cancel_and_wait(*probes.close())
 
 
 async def test_a_part_of_a_list_that_is_left_out_does_not_pass_for_gone() -> None:
--- a/tests/test_target_size.py
+++ b/tests/test_target_size.py
@@ -12,7 +12,7 @@
 
 import h11
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from configurations import CONFIG, SETTINGS, listing
 from fleet import deployment
 from parties import (
@@ -177,7 +177,7 @@
     for number in range(SERVERS):
         probes.start(f"s-{number}", "127.0.0.1:9")
     assert len(probes.line) + len(probes.under_way) == SERVERS and not counters["probes.left_out"]
-    await ended(*probes.close())
+    await cancel_and_wait(*probes.close())
 
 
 def test_orders_for_every_slice_go_out_in_calls_of_bounded_size() -> None:
--- a/tests/test_two_controllers.py
+++ b/tests/test_two_controllers.py
@@ -98,7 +98,7 @@
         spent = times.since(begun)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        assert 0.1 < spent.watcher_late_s < 1.0, spent
+        assert 0.1 < spent.observer_late_s < 1.0, spent
         assert spent.ran_s < 0.15, spent
 
     play(test())
