--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/front_ends.py
@@ -1,4 +1,4 @@
-"""The controller with the further fronts that an operator file asks for."""
+"""Runs the controller with the further front ends that an operator file describes: gates and xDS."""
 
 from __future__ import annotations
 
@@ -7,23 +7,29 @@
 from dataclasses import replace
 from pathlib import Path
 
-from lapispass.cli.seeds import drawn
+from lapispass.cli.seeds import draw_seed
 from lapispass.net.launch import BadStart, Launch
 from lapispass.net.service import Service
-from lapispass.net.service import main as serve
+from lapispass.net.service import main as run_service
 from lapispass.operator.read import BadFile, Source, read_at_start
 
 
-def joined(source: Source) -> Callable[[Launch], Launch]:
-    """Gates count as proxies: each may still act on an older table when a controller starts."""
-    more = len(source.told.gates.name)
-    return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + more))
+def count_gates_as_proxies(source: Source) -> Callable[[Launch], Launch]:
+    """Completes the launch settings: gates count as proxies.
+
+    Each gate may still act on an older table when a controller starts.
+    """
+    gates = len(source.told.gates.name)
+    return lambda launch: replace(launch, told=replace(launch.told, proxies=launch.told.proxies + gates))
 
 
 def attach(source: Source) -> Callable[[Service], None]:
-    """Sets each front beside the service; a file that does not fit is a bad start."""
+    """Returns a function that adds the front ends to a service.
+
+    It raises `BadStart` if the operator file is invalid.
+    """
 
-    def fronts(service: Service) -> None:
+    def attach_front_ends(service: Service) -> None:
         try:
             if source.told.HasField("gates"):
                 from lapispass.gate.gate_server import GateServer
@@ -36,22 +42,22 @@
         except BadFile as error:
             raise BadStart(str(error)) from None
 
-    return fronts
+    return attach_front_ends
 
 
 def main(path: Path) -> int:
-    """The process's status."""
+    """Runs the controller that the operator file describes; returns the exit status."""
     try:
         source = read_at_start(path)
     except BadFile as error:
         print(error, file=sys.stderr)
         return 2
     if source.told.HasField("alone"):
-        from lapispass.xds.host import main as host
+        from lapispass.xds.host import main as run_host
 
         if source.told.alone.HasField("shared"):
             from lapispass.peers.host import SharedHost
 
-            return host(path, drawn(), SharedHost)
-        return host(path, drawn())
-    return serve(joined(source), attach(source))
+            return run_host(path, draw_seed(), SharedHost)
+        return run_host(path, draw_seed())
+    return run_service(count_gates_as_proxies(source), attach(source))
--- a/lapispass/cli/seeds.py
+++ b/lapispass/cli/seeds.py
@@ -1,10 +1,10 @@
-"""The seed of all chance of a process."""
+"""The seed of all random numbers of a process."""
 
 from __future__ import annotations
 
 import secrets
 
 
-def drawn() -> int:
-    """A seed for whoever gives none: 63 bits, never 0."""
+def draw_seed() -> int:
+    """Draws a random seed of 63 bits, which is never 0."""
     return secrets.randbits(63) | 1
--- a/tests/test_channel.py
+++ b/tests/test_channel.py
@@ -213,7 +213,7 @@
         orders = controller.turn(now, [])
         readmitted += [order.backend for order in orders if isinstance(order, interface.SetWithdrawn)]
         controller.turn(now, acknowledgements(orders, 400, 90 * MS))
-        assert controller.channel.waiting <= settings.queue_limit_lines / 4 + 400 * 2
+        assert controller.channel.queued_lines <= settings.queue_limit_lines / 4 + 400 * 2
     assert sorted(readmitted) == ([] if acknowledged else [server.backend for server in servers])
     controller.turn(now, joined[:1] if acknowledged else [interface.ProxyJoined(7, False, "east", 1.0)])
     orders = controller.turn(now + SECOND, [registry_changes(servers[4]._replace(state="draining"))])
