--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from async_tests import ended
+from async_tests import cancel_and_wait
 from hypothesis import given, settings
 from hypothesis import strategies as some
 from support_gate import until
@@ -262,7 +262,7 @@
         """Ends a controller without revoking its lease, which expires by itself."""
         self.hosts.pop(name)
         task = self.tasks.pop(name)
-        await ended(task)
+        await cancel_and_wait(task)
 
     def drain(self, state: str = "DRAINING") -> None:
         self.n0 = state
@@ -315,7 +315,7 @@
         assert all(host.takeover.records[n].epoch == epochs[n] + (n in dead) for n in range(12))
         fleet.drain()  # slices that were taken over can be handed over
         await until(lambda: all(client.writes_to(n) in ("n1", "n2") for n in range(12)), 10)
-        await ended(running)
+        await cancel_and_wait(running)
 
 
 async def test_a_barrier_waits_for_the_clients_of_the_other_controller(tmp_path: Path) -> None:
@@ -326,7 +326,7 @@
         clients[1].faults.ack_delay_s = 0.05
         fleet.drain()
         await until(lambda: all(c.writes_to(n) in ("n1", "n2") for c in clients for n in range(12)), 15)
-        await ended(*running)
+        await cancel_and_wait(*running)
 
 
 async def test_a_newcomer_gets_its_share_without_a_wait_and_one_that_leaves_lets_go(tmp_path: Path) -> None:
@@ -445,5 +445,5 @@
                 client.address = host.xds_server.address
                 client.drop()
         await until(fleet.is_complete, 15)
-        await ended(*running)
+        await cancel_and_wait(*running)
         assert sent > 50 and check_writes(carried, published, lambda key: slice_of(key, 12)) == []
--- a/tests/test_proxy_days.py
+++ b/tests/test_proxy_days.py
@@ -29,7 +29,8 @@
 async def test_a_slice_keeps_a_line_while_its_owners_drain_and_proxies_join_all_day(
     seed: int, trouble: Trouble, tmp_path: Path
 ) -> None:
-    # A handover's last step must not wait for each joining proxy while the owner is withdrawn (issue 48).
+    # Guards against a handover whose last step waits for every proxy that joins while the slice's owner is
+    # withdrawn. While proxies keep joining, the slice would stay unserved.
     verdict = await play_day(seed, tmp_path, trouble)
     assert not verdict.breaches, str(verdict)
     assert verdict.moves > 20, str(verdict)
