--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -267,7 +267,7 @@
 
         return held(one)
 
-    reading = least_ms({n: partial(CODEC.listing, pages[n]) for n in SERVERS}, repeat)
+    reading = least_ms({n: partial(CODEC.parse_registry_text, pages[n]) for n in SERVERS}, repeat)
     yield Cost("controller", "reading a whole list, processor time", "ms", "servers", reading)
     yield Cost("controller", "taking it in the registry client, processor time", "ms", "servers",
                asyncio.run(taking()))  # fmt: skip
--- a/lapispass/standins/coordination.py
+++ b/lapispass/standins/coordination.py
@@ -239,7 +239,7 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = h11.Connection(h11.SERVER)
         while True:
             _, target, body = await read_request(reader, connection)
