--- a/lapispass/cli/fronts.py
+++ b/lapispass/cli/fronts.py
@@ -26,13 +26,13 @@
     def fronts(service: Service) -> None:
         try:
             if source.told.HasField("gates"):
-                from lapispass.gate.desk import Desk
+                from lapispass.gate.gate_server import GateServer
 
-                service.beside.append(Desk(service, source))
+                service.beside.append(GateServer(service, source))
             if source.told.HasField("xds"):
-                from lapispass.xds.beside import Beside
+                from lapispass.xds.platform_server import PlatformXdsServer
 
-                service.beside.append(Beside(service, source))
+                service.beside.append(PlatformXdsServer(service, source))
         except BadFile as error:
             raise BadStart(str(error)) from None
 
--- a/lapispass/core/clients.py
+++ b/lapispass/core/clients.py
@@ -1,11 +1,12 @@
-"""xDS clients: who is let in, who may write, whose answer a mark waits for, and when a client counts as gone.
-
-Every client may read. To write is granted last, and by a lease: the write listener has a time to live,
-which is renewed only while the client acknowledges what it is sent. From the moment that listener is
-offered until the client has answered its removal, or a lease after the last renewal could have been sent,
-the client is a proxy to the deciding module, whose marks wait for it. So a client that acknowledges nothing
-never holds up a handover for longer than `late_us` and one lease, and one without times to live holds up
-none, since it gets no write listener: the named lesser mode 'reads only'.
+"""xDS clients: which may connect, which may write, which barriers wait for them, and when they count as gone.
+
+Every client may read. Permission to write is granted last, and as a lease: the write listener has a time to
+live, which is renewed only while the client acknowledges what it is sent. The controller counts the client
+as a proxy, whose acknowledgement barriers wait for, from the moment that the listener is offered. It does so
+until the client has answered the listener's removal, or until a lease has passed since the last renewal
+could have been sent. So a client that acknowledges nothing never delays a handover for longer than
+`ack_timeout_us` and one lease. A client that does not support times to live gets no write listener, so it
+delays none; it works in the degraded mode 'reads only'.
 """
 
 from __future__ import annotations
@@ -15,69 +16,74 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lapispass.core.facts import NEVER, SECOND
-from lapispass.core.limits import Rate, Returns
-from lapispass.core.versions import KINDS, Shelf, Update, Watch
+from lapispass.core.limits import RateLimiter, ReturnSlots
+from lapispass.core.shared_types import NEVER, SECOND
+from lapispass.core.versions import KINDS, ResourceCache, Update, Watch
 
 READS = "reads"
-WRITES = "writes"  # the listener by which writes are let through
+WRITES = "writes"  # the listener that admits writes, and its routes
 TTL_FEATURE = "xds.config.supports-resource-ttl"
 
 
-class Terms(NamedTuple):
-    """Bounds on clients; times in us."""
+class ClientLimits(NamedTuple):
+    """Limits for clients; times in us."""
 
     lease_us: int
-    late_us: int = 2 * SECOND  # an update not acknowledged for so long ends the right to write
-    clients: int = 5_000
-    names: int = 50_000  # one client may ask for
-    response: int = 5_000  # resources in one response
-    probation_most_us: int = 60 * SECOND
-    nacks_most: int = 3  # of one kind in a row, before the right to write ends
+    # An update that is unacknowledged for longer than this ends the permission to write.
+    ack_timeout_us: int = 2 * SECOND
+    max_clients: int = 5_000
+    max_names: int = 50_000  # names that one client may subscribe to
+    max_response_resources: int = 5_000  # resources in one response
+    max_probation_us: int = 60 * SECOND
+    max_nacks: int = 3  # rejections of one kind in a row that end the permission to write
 
     @property
     def ttl_us(self) -> int:
-        """Told to clients: less than the lease by what a message may take on its way."""
+        """The time to live that clients are sent: the lease less the time that a message may be delayed."""
         return self.lease_us * 3 // 4
 
     @property
-    def slack_us(self) -> int:
-        """What a message may take on its way to a client, and to be read there."""
+    def delivery_margin_us(self) -> int:
+        """How long a message may take until the client has received and read it."""
         return self.lease_us - self.ttl_us
 
     @property
-    def beat_us(self) -> int:
+    def renewal_interval_us(self) -> int:
         return self.ttl_us // 3
 
 
-class Numbers:
-    """Proxy numbers for the module. One that a client has left is free again only after its lease."""
+class ProxyNumbers:
+    """Allocates the numbers under which the controller counts clients as proxies.
+
+    A released number is allocated again only after a lease.
+    """
 
     def __init__(self, first: int, lease_us: int) -> None:
-        self.next, self.lease_us = first, lease_us
-        self.left: list[tuple[int, int]] = []  # (when, number), in order
+        self.next_number, self.lease_us = first, lease_us
+        self.released: list[tuple[int, int]] = []  # (time of release, number), sorted
 
-    def take(self, now: int) -> int:
-        if self.left and self.left[0][0] + self.lease_us < now:
-            return self.left.pop(0)[1]
-        self.next += 1
-        return self.next - 1
+    def allocate(self, now: int) -> int:
+        if self.released and self.released[0][0] + self.lease_us < now:
+            return self.released.pop(0)[1]
+        self.next_number += 1
+        return self.next_number - 1
 
-    def give(self, now: int, number: int) -> None:
-        insort(self.left, (now, number))
+    def release(self, now: int, number: int) -> None:
+        insort(self.released, (now, number))
 
 
 @dataclass
-class Step:
-    """What follows from a look at a client: responses, and news for the module."""
+class ClientStep:
+    """What is to be done for a client: responses to it, and events for the controller."""
 
     updates: list[Update] = field(default_factory=list)
-    joined: int | None = None
-    left: int | None = None
-    left_proved: int = 0  # the turn up to which it was shown to have the tables
-    left_after_us: int = 0  # the module is told so much later
-    answered: list[tuple[int, int, int]] = field(default_factory=list)  # proxy, mark, took us
-    note: str = ""
+    joined: int | None = None  # the number of the proxy that joins
+    left: int | None = None  # the number of the proxy that leaves
+    left_acked_turn: int = 0  # the last turn that the leaving proxy is known to have applied
+    left_delay_us: int = 0  # the controller is notified of the leave after this delay
+    # (proxy number, barrier, time until the acknowledgement in us)
+    acked_barriers: list[tuple[int, int, int]] = field(default_factory=list)
+    lapse_reason: str = ""
 
 
 class Client:
@@ -87,181 +93,208 @@
         self,
         name: str,
         zone: str,
-        whole: bool,
+        is_sotw: bool,
         has_ttl: bool,
-        shelf: Shelf,
-        terms: Terms,
+        cache: ResourceCache,
+        limits: ClientLimits,
         now: int,
         probation_until: int = 0,
     ) -> None:
-        self.name, self.zone, self.whole, self.has_ttl, self.terms = name, zone, whole, has_ttl, terms
-        self.shelf, self.begun = shelf, now
+        self.name, self.zone, self.is_sotw, self.has_ttl, self.limits = name, zone, is_sotw, has_ttl, limits
+        self.cache, self.started_at = cache, now
         self.watches: dict[str, Watch] = {}
         self.state = "reads"  # reads, writes, lapsing (the listener's removal is not answered yet)
-        self.number: int | None = None  # as a proxy of the module
-        self.proved = -1  # the last turn that it was shown to have applied
-        self.beat_at = 0
+        self.proxy_number: int | None = None  # set while the controller counts the client as a proxy
+        self.acked_turn = -1  # the last turn whose barrier the client has acknowledged
+        self.renewed_at = 0
         self.probation_until = probation_until
-        self.lapses = 0
+        self.lapses = 0  # how often the permission to write has been revoked
 
-    # what it asks for
+    # subscriptions
 
     def watch(self, kind: str) -> Watch:
+        """The watch of a kind, which is created with the first request for it."""
         if kind not in self.watches:
-            self.watches[kind] = Watch(kind, self.whole, self.shelf)
+            self.watches[kind] = Watch(kind, self.is_sotw, self.cache)
             if kind == "lds":
                 self.watches[kind].hidden.add(WRITES)
         return self.watches[kind]
 
-    def names(self) -> int:
+    def subscribed_names(self) -> int:
+        """How many names the client subscribes to, over all kinds."""
         return sum(len(watch.names or ()) for watch in self.watches.values())
 
-    # what it is sent
+    # sending
 
-    def look(
+    def advance(
         self,
         now: int,
         turn: int,
-        marks: deque[tuple[int, int, int]],
-        numbers: Numbers,
+        barriers: deque[tuple[int, int, int]],
+        numbers: ProxyNumbers,
         may_write: bool = True,
-    ) -> Step:
-        """What is due now. `marks` are (turn, mark, when), oldest first."""
-        step = Step()
+    ) -> ClientStep:
+        """What is due now. `barriers` are (turn, barrier, time of issue), oldest first."""
+        step = ClientStep()
         for watch in self.watches.values():
             watch.now = now
-        self.rights(now, may_write, numbers, step)
-        for place, kind in enumerate(KINDS):
+        self.update_write_permission(now, may_write, numbers, step)
+        for index, kind in enumerate(KINDS):
             if kind not in self.watches:
                 continue
             watch = self.watches[kind]
-            # Make before break: what is new goes out in the order of kinds, each when the one before has been
-            # acknowledged; what is removed waits until those that may point to it are.
-            before = [self.watches[k] for k in KINDS[:place] if k in self.watches]
-            behind = [self.watches[k] for k in KINDS[place + 1 :] if k in self.watches]
+            # Make before break: additions are sent in the order of kinds, each once the kinds before it are
+            # acknowledged. Clusters are removed once the kinds that may refer to them are acknowledged.
+            before = [self.watches[k] for k in KINDS[:index] if k in self.watches]
+            behind = [self.watches[k] for k in KINDS[index + 1 :] if k in self.watches]
             if kind in ("lds", "rds") and not watch.sent and not all(other.settled for other in before):
                 continue
             may_remove = kind != "cds" or all(other.settled for other in behind)
-            update = watch.due(now, self.terms.response, may_remove)
+            update = watch.next_update(now, self.limits.max_response_resources, may_remove)
             if update is not None:
                 step.updates.append(update)
-        if self.state == "writes" and now - self.beat_at >= self.terms.beat_us:
-            update = self.watches["lds"].beat(WRITES, now)
+        if self.state == "writes" and now - self.renewed_at >= self.limits.renewal_interval_us:
+            update = self.watches["lds"].renew(WRITES, now)
             if update is not None:
-                self.beat_at = now
+                self.renewed_at = now
                 step.updates.append(update)
-        self.prove(now, turn, marks, step)
+        self.acknowledge_barriers(now, turn, barriers, step)
         return step
 
-    def stood_still(self, for_us: int) -> None:
-        """The controller itself did: its clients are not blamed for what they could not be heard to say."""
+    def exclude_pause(self, pause_us: int) -> None:
+        """Leaves a pause of this process out of all time-outs, since no answer could be read during it."""
         for watch in self.watches.values():
-            watch.out_at += for_us
-            for name in watch.unproven_at:
-                watch.unproven_at[name] += for_us
+            watch.sent_at += pause_us
+            for name in watch.unacked_at:
+                watch.unacked_at[name] += pause_us
 
-    def rights(self, now: int, may_write: bool, numbers: Numbers, step: Step) -> None:
-        """Grants writing where all is acknowledged; ends it where something is not."""
+    def update_write_permission(
+        self, now: int, may_write: bool, numbers: ProxyNumbers, step: ClientStep
+    ) -> None:
+        """Grants permission to write once everything is acknowledged; revokes it if something is not."""
         eds, lds = self.watches.get("eds"), self.watches.get("lds")
         if lds is None or eds is None:
             return
         if not may_write:
-            # Guards rule 2: a controller that may have been followed already shows what it has, for reading
-            # only.
+            # A controller whose session has ended may have a successor already, which may have assigned its
+            # slices to new owners. Writes that follow its old tables would break rule 2 (one writer per
+            # slice), so its clients may only read.
             if self.state == "writes":
-                self.state, step.note = "lapsing", "the controller's own session has ended"
-                self.give_up(now, numbers, step)
+                self.state, step.lapse_reason = "lapsing", "the session of this controller has ended"
+                self.leave_proxies(now, numbers, step)
                 lds.hide(WRITES)
             return
         if self.state == "reads":
-            if lds.settled and lds.took_us > self.terms.slack_us and now > lds.out_at + self.terms.lease_us:
-                lds.want([READS], [])  # sent once more, to see whether it reads promptly by now
-            # How late it reads is known from the listeners it has acknowledged: no right for who reads late.
-            prompt = lds.settled and READS in lds.holds and lds.took_us <= self.terms.slack_us
-            proven = eds.sent and eds.settled and eds.late_since == NEVER
-            offered = lds.wants(WRITES) and WRITES in self.shelf.items["lds"]
-            if self.has_ttl and prompt and proven and offered and now >= self.probation_until:
-                self.state, self.beat_at = "writes", now
-                self.number = step.joined = numbers.take(now)
-                self.proved = -1
+            if (
+                lds.settled
+                and lds.answer_time_us > self.limits.delivery_margin_us
+                and now > lds.sent_at + self.limits.lease_us
+            ):
+                # The listener is sent again, to measure whether the client reads promptly by now.
+                lds.change_subscription([READS], [])
+            # The answer time of a listener shows how late the client reads; a late reader may not write.
+            prompt = (
+                lds.settled and READS in lds.acked and lds.answer_time_us <= self.limits.delivery_margin_us
+            )
+            acked = eds.sent and eds.settled and eds.unacked_since == NEVER
+            offered = lds.wants(WRITES) and WRITES in self.cache.by_kind["lds"]
+            if self.has_ttl and prompt and acked and offered and now >= self.probation_until:
+                self.state, self.renewed_at = "writes", now
+                self.proxy_number = step.joined = numbers.allocate(now)
+                self.acked_turn = -1
                 lds.show(WRITES)
         elif self.state == "writes":
-            late = min(eds.late_since, lds.out_at if lds.out is not None else NEVER)
+            late = min(eds.unacked_since, lds.sent_at if lds.in_flight is not None else NEVER)
             why = ""
-            if now - late > self.terms.late_us:
-                why = "acknowledges nothing"
-            elif max(eds.nacks, lds.nacks) >= self.terms.nacks_most:
-                why = "turns the same down again and again"
-            elif lds.took_us > self.terms.slack_us:
-                # Guards rule 2: its time to live counts from when it reads a renewal. One that reads late
-                # may hold the last one longer than the lease, which the module counts from the end of its
-                # stream.
-                why = f"answers a renewal after {lds.took_us} us"
-                lds.took_us = 0
-            elif lds.refused.get(WRITES):
-                why = "turns the write listener down"
+            if now - late > self.limits.ack_timeout_us:
+                why = "does not acknowledge updates"
+            elif max(eds.nacks, lds.nacks) >= self.limits.max_nacks:
+                why = "rejects several responses in a row"
+            elif lds.answer_time_us > self.limits.delivery_margin_us:
+                # The time to live starts when the client reads a renewal. A client that reads late may hold
+                # its last renewal for longer than the lease, which the controller counts from the end of the
+                # stream. It could then still write while a slice has a new owner, against rule 2.
+                why = f"answered a renewal after {lds.answer_time_us} us"
+                lds.answer_time_us = 0
+            elif lds.nacked.get(WRITES):
+                why = "rejects the write listener"
             if why:
-                self.lapse(now, why, step)
-                self.give_up(now, numbers, step)
+                self.revoke_write_permission(now, why, step)
+                self.leave_proxies(now, numbers, step)
                 lds.hide(WRITES)
-        elif self.state == "lapsing" and lds.settled and not lds.holds.get(WRITES):
+        elif self.state == "lapsing" and lds.settled and not lds.acked.get(WRITES):
             self.state = "reads"
 
-    def lapse(self, now: int, why: str, step: Step) -> None:
-        """No further renewal. Each time it stays a reader for longer."""
+    def revoke_write_permission(self, now: int, why: str, step: ClientStep) -> None:
+        """Ends renewals, and puts the client on probation, each time for longer."""
         self.lapses += 1
         self.state = "lapsing"
-        wait = min(self.terms.probation_most_us, self.terms.lease_us * 2 ** min(self.lapses, 10))
+        wait = min(self.limits.max_probation_us, self.limits.lease_us * 2 ** min(self.lapses, 10))
         self.probation_until = now + wait
-        step.note = f"{why}; reads only for {wait} us"
-
-    def give_up(self, now: int, numbers: Numbers, step: Step) -> None:
-        """It counts as gone for the module, which waits a lease from now; its number is not used again
-        before."""
-        if self.number is not None:
-            step.left, self.number = self.number, None
-            step.left_proved = self.watches["eds"].proven_turn if "eds" in self.watches else self.proved
+        step.lapse_reason = f"{why}; may only read for {wait} us"
+
+    def leave_proxies(self, now: int, numbers: ProxyNumbers, step: ClientStep) -> None:
+        """Reports the client as gone to the controller, which waits for a lease from then on.
+
+        Its number is not allocated again before that.
+        """
+        if self.proxy_number is not None:
+            step.left, self.proxy_number = self.proxy_number, None
+            step.left_acked_turn = (
+                self.watches["eds"].acked_turn if "eds" in self.watches else self.acked_turn
+            )
             lds = self.watches.get("lds")
-            if lds is not None and lds.out is not None and WRITES in lds.out.items:
-                # Guards rule 2: it may read this renewal later than any before, and its time runs from then.
-                step.left_after_us = self.terms.late_us
-            numbers.give(now + step.left_after_us, step.left)
-
-    def end(self, now: int, numbers: Numbers) -> Step:
-        """Its stream has ended."""
-        step = Step()
-        self.give_up(now, numbers, step)
+            if lds is not None and lds.in_flight is not None and WRITES in lds.in_flight.resources:
+                # The client may read the renewal in flight later than any before, and its time to live starts
+                # then. It must have expired before a slice gets a new owner, by rule 2.
+                step.left_delay_us = self.limits.ack_timeout_us
+            numbers.release(now + step.left_delay_us, step.left)
+
+    def end(self, now: int, numbers: ProxyNumbers) -> ClientStep:
+        """Handles the end of the client's stream."""
+        step = ClientStep()
+        self.leave_proxies(now, numbers, step)
         for watch in self.watches.values():
             watch.end()
         self.watches.clear()
         return step
 
-    def prove(self, now: int, turn: int, marks: deque[tuple[int, int, int]], step: Step) -> None:
-        """Marks whose tables rule at the client: all write tables up to their turn are acknowledged."""
-        if self.number is None:
+    def acknowledge_barriers(
+        self, now: int, turn: int, barriers: deque[tuple[int, int, int]], step: ClientStep
+    ) -> None:
+        """Acknowledges the last barrier up to whose turn the client has acknowledged all write resources."""
+        if self.proxy_number is None:
             return
         eds = self.watches["eds"]
-        proven = min(turn, eds.proven_turn)
-        if proven <= self.proved:
+        acked = min(turn, eds.acked_turn)
+        if acked <= self.acked_turn:
             return
         last = next(
-            ((at, mark, when) for at, mark, when in reversed(marks) if self.proved < at <= proven), None
+            (
+                (at, barrier, when)
+                for at, barrier, when in reversed(barriers)
+                if self.acked_turn < at <= acked
+            ),
+            None,
         )
-        self.proved = proven
+        self.acked_turn = acked
         if last is not None:
-            step.answered.append((self.number, last[1], max(0, now - last[2])))
+            step.acked_barriers.append((self.proxy_number, last[1], max(0, now - last[2])))
+
 
+class ConnectLimiter:
+    """Limits how fast clients may connect, since thousands may reconnect at once.
 
-class Doorway:
-    """Who is let in: thousands may come back at once. What is refused is told when to come."""
+    A rejected client is told when to come back.
+    """
 
     def __init__(self, clients: int, per_s: float, burst: int, seed: int) -> None:
-        self.clients, self.rate = clients, Rate(per_s, burst)
-        self.returns = Returns(per_s, SECOND // 10, 30 * SECOND, seed)
+        self.max_clients, self.rate = clients, RateLimiter(per_s, burst)
+        self.returns = ReturnSlots(per_s, SECOND // 10, 30 * SECOND, seed)
 
-    def ask(self, now: int, inside: int) -> int:
-        """0 for whoever may come in; else when to come back, us from now."""
-        if inside >= self.clients:
+    def delay_us(self, now: int, connected: int) -> int:
+        """0 if another client may connect now; otherwise the time in us after which to try again."""
+        if connected >= self.max_clients:
             return max(SECOND, self.returns.delay_us(now))
         if wait := self.rate.wait_us(now):
             return max(wait, self.returns.delay_us(now))
--- a/lapispass/net/log.py
+++ b/lapispass/net/log.py
@@ -1,4 +1,4 @@
-"""Log lines: key=value, on standard error, never waiting for whoever reads them."""
+"""Logging in key=value lines to standard error, which never blocks on a slow reader."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 import select
 import time
 
-PLAIN = re.compile(r"[\w.:/+@%,;<>()-]+\Z")
-LINE_MOST = 4000  # below what a pipe takes at once
+UNQUOTED = re.compile(r"[\w.:/+@%,;<>()-]+\Z")
+MAX_LINE_BYTES = 4000  # less than PIPE_BUF, so that a pipe takes a line in one write
 
 
-def word(value: object) -> str:
-    """A value as it stands, or quoted where it would not read as one word."""
+def format_value(value: object) -> str:
+    """The value as text, JSON-quoted if it is not a single plain word."""
     text = format(value, ".6g") if isinstance(value, float) else str(value)
-    return text if PLAIN.match(text) else json.dumps(text)
+    return text if UNQUOTED.match(text) else json.dumps(text)
 
 
 STARTED_NS = time.monotonic_ns()
 
 
-class KeyValue(logging.Formatter):
-    """`time= level= part= event=`, the fields of the record, and `up=`: seconds since the process began, by a
-    clock that nobody steps.
+class KeyValueFormatter(logging.Formatter):
+    """Formats a record as `time= level= part= event=`, its own fields, and `up=`.
+
+    `up=` is the time since the process started in seconds, by the monotonic clock: steps of the wall clock do
+    not change it.
     """
 
     def format(self, record: logging.LogRecord) -> str:
@@ -39,13 +41,14 @@
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
         fields["up"] = f"{(time.monotonic_ns() - STARTED_NS) / 1e9:.3f}"
-        return " ".join(f"{key}={word(value)}" for key, value in fields.items())
+        return " ".join(f"{key}={format_value(value)}" for key, value in fields.items())
 
 
-class Steady(logging.Handler):
-    """Writes a line only if that can be done at once: a stopped log reader must not stop the controller.
+class NonBlockingHandler(logging.Handler):
+    """Writes a line only if the descriptor takes it without blocking.
 
-    What is left of a line after a short write goes before the next one; at most one line waits.
+    A log reader that has stopped must not stop the controller. The rest of a partially written line is
+    written before the next one. At most one line is buffered; further ones are dropped and counted in `lost`.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -55,46 +58,48 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.write_on()
+        self.flush_pending()
         if self.unwritten:
             self.lost += 1
             return
-        self.unwritten = self.format(record).encode(errors="replace")[:LINE_MOST] + b"\n"
-        self.write_on()
+        self.unwritten = self.format(record).encode(errors="replace")[:MAX_LINE_BYTES] + b"\n"
+        self.flush_pending()
 
-    def write_on(self) -> None:
-        """What is left of the last line, as far as it is taken."""
+    def flush_pending(self) -> None:
+        """Writes as much of the buffered line as the descriptor takes."""
         try:
             while self.unwritten and self.poll.poll(0):
                 written = os.write(self.descriptor, self.unwritten)
                 self.unwritten = self.unwritten[written:]
         except OSError:
-            pass  # the next line tries again
+            pass  # tried again with the next line
 
 
-def start(descriptor: int = 2, level: int = logging.INFO) -> Steady:
-    """Sends the log of the process to a descriptor."""
-    handler = Steady(descriptor)
-    handler.setFormatter(KeyValue())
-    logging.getLogger().handlers[:] = [handler]  # asyncio's complaints go the same way
+def start(descriptor: int = 2, level: int = logging.INFO) -> NonBlockingHandler:
+    """Sends all log records of the process to a descriptor."""
+    handler = NonBlockingHandler(descriptor)
+    handler.setFormatter(KeyValueFormatter())
+    logging.getLogger().handlers[:] = [handler]  # asyncio logs through it, too
     logging.getLogger("lapispass").setLevel(level)
     return handler
 
 
-def write_on() -> None:
-    """Writes lines that had to wait, as far as they are taken now; otherwise they wait for the next one."""
+def flush_pending() -> None:
+    """Writes the buffered line as far as the descriptor takes it; the rest stays buffered."""
     for handler in logging.getLogger().handlers:
-        if isinstance(handler, Steady):
-            handler.write_on()
+        if isinstance(handler, NonBlockingHandler):
+            handler.flush_pending()
 
 
 def lost() -> int:
-    """Lines dropped because nobody read them."""
-    return sum(handler.lost for handler in logging.getLogger().handlers if isinstance(handler, Steady))
+    """The number of lines dropped because the log's reader was too slow."""
+    return sum(
+        handler.lost for handler in logging.getLogger().handlers if isinstance(handler, NonBlockingHandler)
+    )
 
 
-class Part:
-    """The log of one part; `rate_limited` bounds the lines that a peer can cause."""
+class PartLogger:
+    """The logger of one part of the program. Use `rate_limited` for events that a peer can cause."""
 
     def __init__(self, name: str, every_us: int = 0) -> None:
         self.logger = logging.getLogger(f"lapispass.{name}")
@@ -110,9 +115,10 @@
     def rate_limited(
         self, event: str, *, level: int = logging.WARNING, kind: str = "", **fields: object
     ) -> None:
-        """At most one such line in a while; the next one tells how many were left out.
+        """Logs an event at most once per interval; `left_out=` in the next line counts the suppressed ones.
 
-        Lines of each `kind` are counted by themselves: frequent ones do not hide others. There must be few.
+        Each `kind` has a limit of its own, so that frequent events do not hide rare ones. Every kind takes
+        memory: there must be few.
         """
         at, left_out = self.last.get((event, kind), (0, 0))
         now = time.monotonic_ns()
@@ -123,5 +129,5 @@
         self.say(event, level, **fields, **({"left_out": left_out} if left_out else {}))
 
     def failed(self, event: str, **fields: object) -> None:
-        """Inside an except block: the fault with its trace."""
+        """Logs the current exception with its traceback; for use in an except block."""
         self.logger.error(event, exc_info=True, extra={"fields": fields})
--- a/tests/test_accept_faults.py
+++ b/tests/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""Gates and xDS controllers accept clients although accept fails for a moment."""
+"""Gates and xDS controllers accept clients although accept fails temporarily."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import errno
 from pathlib import Path
 
-from faulty_process import Call, Faults, free_address, names, process
+from faulty_process import Call, Faults, errno_name, free_address, process
 from parties import play
 
 UPGRADE = (
@@ -25,7 +25,7 @@
 
 
 async def answer(address: tuple[str, int]) -> bytes:
-    """The head of what the gate answers, or why there is none."""
+    """The head of the gate's response, or the error text if there is none."""
     try:
         async with asyncio.timeout(DUE_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -47,7 +47,7 @@
                 faults.set(Call.ACCEPT, error, times=3)
                 got = await answer(running.address)
                 if not got.startswith(b"HTTP/1.1 503"):  # its node refuses
-                    late[names(error)] = got
+                    late[errno_name(error)] = got
                 faults.clear(Call.ACCEPT)
         assert not late
 
@@ -65,7 +65,7 @@
 
 
 async def first_frame(address: tuple[str, int]) -> int:
-    """The type of the first frame of an HTTP/2 server; -1 where none comes in time."""
+    """The type of an HTTP/2 server's first frame, or -1 if none arrives in time."""
     try:
         async with asyncio.timeout(DUE_S):
             reader, writer = await asyncio.open_connection(*address)
@@ -86,7 +86,7 @@
             for error in ACCEPT_ERRORS:
                 faults.set(Call.ACCEPT, error, times=3)
                 if (got := await first_frame(running.address)) != SETTINGS:
-                    late[names(error)] = got
+                    late[errno_name(error)] = got
                 faults.clear(Call.ACCEPT)
         assert not late
 
