--- a/lapispass/__init__.py
+++ b/lapispass/__init__.py
@@ -1,1 +1,1 @@
-"""lapispass: a table manager that assigns servers to proxies, one owner a slice."""
+"""A table manager that assigns servers to proxies, with exactly one owner for each slice."""
--- a/lapispass/cli/__init__.py
+++ b/lapispass/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line `lapispass VERB`. Each verb imports its part only when it is called."""
+"""The command line `lapispass VERB`; each verb imports its implementation only when it is called."""
--- a/lapispass/core/__init__.py
+++ b/lapispass/core/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions beside the module's: pure, told the time and the chance, tested as closely."""
+"""Pure decision logic outside `lapispass/policy`, tested as closely; time and randomness are passed in."""
--- a/lapispass/core/slice_policy.py
+++ b/lapispass/core/slice_policy.py
@@ -21,10 +21,10 @@
         rules: RulesType,
         fleet: FleetIndex[AnyServer],
         slice_index: SliceIndex,
-        shut_out: WithdrawnServers,
+        withdrawn_servers: WithdrawnServers,
     ) -> None:
         self.turn, self.rules, self.fleet, self.slice_index = turn, rules, fleet, slice_index
-        self.shut_out = shut_out
+        self.withdrawn_servers = withdrawn_servers
         self.init_state()
 
     def init_state(self) -> None:
--- a/lapispass/core/slice_table.py
+++ b/lapispass/core/slice_table.py
@@ -29,7 +29,7 @@
     def __init__(self, turn: Turn, fleet: FleetIndex[AnyServer], times: Times, negligible: float) -> None:
         super().__init__()
         self.turn, self.fleet, self.negligible, self.times = turn, fleet, negligible, times
-        self.slice_index, self.shut_out = SliceIndex(), WithdrawnServers()
+        self.slice_index, self.withdrawn_servers = SliceIndex(), WithdrawnServers()
 
     def slice_granted(self, number: int, granted: bool) -> None:
         """Adds or removes a slice. Its stored table stays as it is, and no handover starts for one lease."""
@@ -51,7 +51,7 @@
     def proxy_joined(self, event: interface.ProxyJoined, missed: MissedOrders) -> None:
         """Notes that a proxy has joined, and which withdrawals it may have missed."""
         super().proxy_joined(event, missed)
-        self.shut_out.proxy_joined(missed)
+        self.withdrawn_servers.proxy_joined(missed)
 
     def server_evaluated(self, server: ServerState) -> None:
         """Notes that a server was evaluated: the admission levels of its slices may have to change."""
@@ -61,9 +61,9 @@
 
     def forget_server(self, number: interface.BackendId) -> bool:
         """Forgets a server; False while it is still withdrawn and proxies must let it in again."""
-        if number in self.shut_out.withdrawn:
+        if number in self.withdrawn_servers.withdrawn:
             return False
-        self.shut_out.forget(number, self.fleet.last_index)
+        self.withdrawn_servers.forget(number, self.fleet.last_index)
         self.slice_index.forget_server(number)
         return True
 
--- a/lapispass/gate/__init__.py
+++ b/lapispass/gate/__init__.py
@@ -1,2 +1,4 @@
-"""The gate, a router that holds WebSocket connections. This package has the codec and the I/O; the decisions
-are made in `lapispass/core/steering.py`."""
+"""The gate, a router that holds WebSocket connections: its codec and I/O.
+
+Its decisions are made in `lapispass/core/steering.py`.
+"""
--- a/lapispass/lab/__init__.py
+++ b/lapispass/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements and long runs that ship with the daemon."""
+"""Measurements and long test runs that are installed with the daemon."""
--- a/lapispass/net/__init__.py
+++ b/lapispass/net/__init__.py
@@ -1,1 +1,1 @@
-"""The front on sockets: collectors, the relay, the registry and probes round the decisions."""
+"""Network I/O of a controller: collectors, relay, registry and probes, connected to the decision logic."""
--- a/lapispass/peers/__init__.py
+++ b/lapispass/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Several controllers that share the nodes through a coordination service: its client, and their host."""
+"""Several controllers sharing nodes through a coordination service: its client, and the controllers' host."""
--- a/lapispass/policy/__init__.py
+++ b/lapispass/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions: pure, events in, orders out. The settings of `deploy/balancer.toml` name each module."""
+"""All policies, pure: events in, orders out. The settings in `deploy/balancer.toml` name each module."""
--- a/lapispass/policy/handovers.py
+++ b/lapispass/policy/handovers.py
@@ -37,7 +37,7 @@
         )
         super().__init__(turn, fleet, times, NEGLIGIBLE)
         self.rules, self.channel = rules, channel
-        common = (turn, rules, fleet, self.slice_index, self.shut_out)
+        common = (turn, rules, fleet, self.slice_index, self.withdrawn_servers)
         self.placement, self.admission = Placement(*common), Admission(*common)
         self.withdrawals = Withdrawals(*common)
         self.budget = SendBudget(0, 0, 0, rules.lease_us, False)
@@ -119,7 +119,7 @@
         urgent = [s for owner in closed for s in by_owner[owner].values() if self.may_leave(s)]
         # The slices of the owner that was withdrawn first come first. Otherwise larger slices of owners
         # withdrawn later would overtake a small one, which would stay unserved for too long.
-        out = self.shut_out.withdrawn
+        out = self.withdrawn_servers.withdrawn
         urgent.sort(key=lambda s: (out.get(s.owner, now) if s.owner is not None else now, -s.rate, s.serial))
         if not self.placement.any_open():
             return []
@@ -148,11 +148,11 @@
         """Since when the slice may have been unserved: its owner is withdrawn, or it has none."""
         if slice_.owner is None:
             return slice_.unserved_since
-        shut_out_at = self.shut_out.withdrawn.get(slice_.owner, self.turn.now)
+        withdrawn_at = self.withdrawn_servers.withdrawn.get(slice_.owner, self.turn.now)
         # Until all proxies have acknowledged the new owner, one may receive it together with its withdrawal:
         # that proxy has been without a backend all the time.
-        is_unknown = slice_.step == "closing" and slice_.owner in self.shut_out.withdrawn
-        return slice_.unserved_since if is_unknown else max(slice_.unserved_since, shut_out_at)
+        is_unknown = slice_.step == "closing" and slice_.owner in self.withdrawn_servers.withdrawn
+        return slice_.unserved_since if is_unknown else max(slice_.unserved_since, withdrawn_at)
 
     def is_urgent(self, slice_: Slice) -> bool:
         """Whether rule 1 requires that the new owner is published at once, with its writes blocked.
--- a/lapispass/rules/checker.py
+++ b/lapispass/rules/checker.py
@@ -73,8 +73,8 @@
                 self.unserved_since[party, number] = at_us
             return
         self.unserved_since.pop((party, number), None)
-        if (since_told := self.draining_since.get(node)) is not None:  # rule 3
-            late = at_us - max(since_told, joined_us)
+        if (drain_reported_at_us := self.draining_since.get(node)) is not None:  # rule 3
+            late = at_us - max(drain_reported_at_us, joined_us)
             self.worst_drain_us = max(self.worst_drain_us, late)
             if late > self.bounds.drain_grace_us:
                 self.breach(
--- a/lapispass/standins/__init__.py
+++ b/lapispass/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Outside parties as stand-ins, written from public specifications; shared by tests, drills and the lab."""
+"""Stand-ins for external systems, written from public specifications; shared by tests, drills and the lab."""
--- a/lapispass/store/__init__.py
+++ b/lapispass/store/__init__.py
@@ -1,1 +1,1 @@
-"""State that survives crashes: the owner of each slice."""
+"""Persistent state that survives crashes: the owner of each slice."""
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -94,13 +94,13 @@
     controller = fleet.controller
     table = controller.table
     assert len(fleet.registry) == 124 and fleet.owners() <= set(controller.backends)
-    shut_out, placement = table.shut_out, table.placement
+    withdrawn_servers, placement = table.withdrawn_servers, table.placement
     for held in (
         controller.backends,
         controller.agenda,
-        shut_out.withdrawn,
-        shut_out.to_resend,
-        shut_out.sent_under,
+        withdrawn_servers.withdrawn,
+        withdrawn_servers.to_resend,
+        withdrawn_servers.sent_under,
         table.slice_index.next_relief_at,
         placement.loads,
     ):
--- a/tests/test_fleet_days.py
+++ b/tests/test_fleet_days.py
@@ -148,7 +148,7 @@
 
 
 def test_the_checker_finds_a_withdrawal_forgotten_for_joiners(monkeypatch) -> None:
-    monkeypatch.setattr(WithdrawnServers, "proxy_joined", lambda shut_out, note: None)
+    monkeypatch.setattr(WithdrawnServers, "proxy_joined", lambda withdrawn_servers, note: None)
     found = [
         breach
         for seed in range(2)
--- a/tests/test_handovers.py
+++ b/tests/test_handovers.py
@@ -241,7 +241,7 @@
     fleet.start()
     fleet.change(106, "ready")
     fleet.run(0.05)
-    fleet.controller.table.shut_out.resending.add(106)  # as if there had been no room for it yet
+    fleet.controller.table.withdrawn_servers.resending.add(106)  # as if there had been no room for it yet
     fleet.change(106, "draining")
     for number in range(4):
         fleet.join(number)
